--- a/crates/coord/src/election.rs
+++ b/crates/coord/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, and the change of roles (Ongaro 2014, sections 3.4 and 9.6).
+//! Elections: pre-votes, votes and role changes (Ongaro 2014, sections 3.4 and 9.6).
 
 use std::collections;
 
@@ -8,7 +8,7 @@
 use crate::{
     entry::Load,
     message::Raft as Message,
-    raft::{Lead, Progress, Raft, Role, Save},
+    raft::{LeaderState, Progress, Raft, Role, Save},
 };
 
 impl Raft {
@@ -20,27 +20,28 @@
         pre: bool,
         now: u64,
     ) {
-        // A member that hears a leader helps nobody to replace it. Only a candidate that a leader
-        // has sent to stand comes without having asked first.
-        let content = self.has_leader(now) && (pre || self.is_leader());
-        if content || term < self.term {
+        // A member in contact with a leader does not help to replace that leader. Only a candidate
+        // to which a leader transfers its leadership requests votes without a pre-vote.
+        let keeps_leader = self.has_leader(now) && (pre || self.is_leader());
+        if keeps_leader || term < self.term {
             return self.send_voted(from, self.term, false, pre);
         }
-        let current = last >= (self.log.last_term(), self.log.last());
+        let up_to_date = last >= (self.log.last_term(), self.log.last());
         if pre {
-            let granted = current && term > self.term;
-            // A refusal tells the voter's own term: a question alone must not raise any.
+            let granted = up_to_date && term > self.term;
+            // A refusal carries the voter's own term: a pre-vote request alone must not raise any
+            // member's term.
             return self.send_voted(from, if granted { term } else { self.term }, granted, true);
         }
         if term > self.term {
             self.enter_term(term, now);
         }
-        let free = self.vote.as_ref().is_none_or(|vote| vote == from);
-        let granted = current && free && matches!(self.role, Role::Follower);
+        let can_vote = self.vote.as_ref().is_none_or(|vote| vote == from);
+        let granted = up_to_date && can_vote && matches!(self.role, Role::Follower);
         if granted && self.vote.is_none() {
             self.vote = Some(from.clone());
-            self.save_hard();
-            self.reset_election(now);
+            self.save_hard_state();
+            self.reset_election_timer(now);
         }
         self.send_voted(from, self.term, granted, false);
     }
@@ -63,14 +64,14 @@
             }
             return;
         }
-        let asked = if pre { self.term + 1 } else { self.term };
-        if term != asked || !self.voters.holds(from) {
+        let expected = if pre { self.term + 1 } else { self.term };
+        if term != expected || !self.voters.contains(from) {
             return;
         }
-        let Role::Candidate { pre: stage, votes } = &mut self.role else {
+        let Role::Candidate { pre: is_pre, votes } = &mut self.role else {
             return;
         };
-        if *stage != pre {
+        if *is_pre != pre {
             return;
         }
         votes.insert(from.clone());
@@ -87,14 +88,14 @@
         if *pre {
             self.campaign(false, now);
         } else {
-            self.lead(now);
+            self.become_leader(now);
             self.append(Load::Empty, now);
         }
     }
 
     pub(crate) fn campaign(&mut self, pre: bool, now: u64) {
-        self.reset_election(now);
-        if !self.voters.holds(&self.me) {
+        self.reset_election_timer(now);
+        if !self.voters.contains(&self.me) {
             return;
         }
         self.leader = None;
@@ -102,60 +103,60 @@
         if !pre {
             self.term = term;
             self.vote = Some(self.me.clone());
-            self.save_hard();
+            self.save_hard_state();
         }
         let votes = collections::BTreeSet::from([self.me.clone()]);
         self.role = Role::Candidate { pre, votes };
         let (last, last_term) = (self.log.last(), self.log.last_term());
-        for to in self.others() {
+        for to in self.other_voters() {
             self.out.sends.push((to, Message::Vote { term, last, last_term, pre }));
         }
         self.count_votes(now);
     }
 
-    pub(crate) fn others(&self) -> Vec<name::Member> {
-        let known = |m: &&name::Member| **m != self.me && m.life != 0;
-        self.voters.0.iter().filter(known).cloned().collect()
+    pub(crate) fn other_voters(&self) -> Vec<name::Member> {
+        let is_other = |m: &&name::Member| **m != self.me && m.life != 0;
+        self.voters.0.iter().filter(is_other).cloned().collect()
     }
 
-    pub(crate) fn lead(&mut self, now: u64) {
-        let next = self.log.last() + 1;
-        let progress = Progress { next, heard: now, ..Progress::default() };
-        let peers = self.others().into_iter().map(|member| (member, progress)).collect();
+    pub(crate) fn become_leader(&mut self, now: u64) {
+        let next_index = self.log.last() + 1;
+        let progress = Progress { next_index, last_contact: now, ..Progress::default() };
+        let peers = self.other_voters().into_iter().map(|member| (member, progress)).collect();
         self.leader = Some(self.me.clone());
-        self.echo = 0;
-        self.role = Role::Leader(Lead {
+        self.lease_start = 0;
+        self.role = Role::Leader(LeaderState {
             peers,
-            beat: now,
-            since: now,
-            eager: collections::BTreeMap::new(),
+            next_heartbeat: now,
+            elected_at: now,
+            commit_waiters: collections::BTreeMap::new(),
         });
     }
 
     pub(crate) fn enter_term(&mut self, term: u64, now: u64) {
         self.term = term;
         self.vote = None;
-        self.save_hard();
-        self.follow(None, now);
+        self.save_hard_state();
+        self.become_follower(None, now);
     }
 
-    pub(crate) fn follow(&mut self, leader: Option<name::Member>, now: u64) {
+    pub(crate) fn become_follower(&mut self, leader: Option<name::Member>, now: u64) {
         let was_leader = self.is_leader();
         self.role = Role::Follower;
         self.leader = leader;
         if was_leader {
-            self.echo = 0;
+            self.lease_start = 0;
         }
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
-    pub(crate) fn save_hard(&mut self) {
+    pub(crate) fn save_hard_state(&mut self) {
         self.out.saves.push(Save::Hard(self.term, self.vote.clone()));
     }
 
-    pub(crate) fn reset_election(&mut self, now: u64) {
-        let spread = self.rng.random_range(0..=self.timing.election);
-        self.elect = now + self.timing.election + spread;
+    pub(crate) fn reset_election_timer(&mut self, now: u64) {
+        let jitter = self.rng.random_range(0..=self.timing.election);
+        self.election_at = now + self.timing.election + jitter;
     }
 
     pub(crate) fn refresh_voters(&mut self) {
--- a/crates/coord/src/entry.rs
+++ b/crates/coord/src/entry.rs
@@ -5,55 +5,55 @@
 /// One entry of a replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Entry {
-    /// Position in the log, from 1.
+    /// Position in the log, starting at 1.
     pub index: u64,
     /// Term of the leader that appended it.
     pub term: u64,
-    /// What it holds.
+    /// Content of the entry.
     pub load: Load,
 }
 
-/// What an entry holds.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Load {
-    /// Nothing: a new leader's first entry.
+    /// No content: the first entry of a new leader.
     Empty,
     /// A command for the state machine.
     Command(bytes::Bytes),
-    /// The voters from this entry on.
+    /// The voters that apply from this entry on.
     Voters(Voters),
 }
 
-/// A short list of members on the stack.
+/// A short list of members, stored on the stack.
 pub type Members = smallvec::SmallVec<[name::Member; 5]>;
 
 /// The voters of a group. A voter with incarnation 0 is a seat whose instance is not known yet:
-/// it counts for the quorum and never votes.
+/// the seat counts towards the quorum but never votes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Voters(pub Members);
 
 impl Voters {
-    /// Votes needed for a majority.
+    /// Number of votes needed for a majority.
     pub fn quorum(&self) -> usize {
         self.0.len() / 2 + 1
     }
 
-    /// Whether this life of an instance votes.
-    pub fn holds(&self, member: &name::Member) -> bool {
+    /// Whether this incarnation of an instance votes.
+    pub fn contains(&self, member: &name::Member) -> bool {
         self.0.contains(member)
     }
 
-    /// The seat of an instance, whatever its incarnation.
+    /// The voter that holds the seat of an instance, with any incarnation.
     pub fn seat(&self, name: &name::Name) -> Option<&name::Member> {
         self.0.iter().find(|member| member.name == *name)
     }
 
-    /// These voters with the seat of `member` taken over by its present life.
+    /// Returns these voters, with the seat of `member` given to its current incarnation.
     #[must_use]
     pub fn with_life(&self, member: &name::Member) -> Self {
-        let swap = |m: &name::Member| {
+        let replace = |m: &name::Member| {
             if m.name == member.name { member.clone() } else { m.clone() }
         };
-        Self(self.0.iter().map(swap).collect())
+        Self(self.0.iter().map(replace).collect())
     }
 }
--- a/crates/coord/src/form.rs
+++ b/crates/coord/src/form.rs
@@ -1,10 +1,11 @@
-//! Formation: how instances without a group agree on a first one, or find the one there is.
+//! Formation: how instances without a group form the first one or find an existing one.
 //!
-//! An instance that belongs to no formation asks everybody. A formation needs the grant of a
-//! majority of the group's seats, each given by an instance that itself belongs to none. All
-//! seats are voters from the first entry on, those not heard of with incarnation 0, so every
-//! majority of every formation of a group is a majority of the same seats, and an incarnation
-//! belongs to one formation at a time. Two formations of one group therefore never both commit.
+//! An instance without a formation probes all other instances. A formation needs grants from a
+//! majority of the group's seats, and only an instance without a formation gives a grant. All
+//! seats are voters from the first entry on; a seat that gave no grant has incarnation 0. Every
+//! majority of every formation of a group is therefore a majority of the same seats, and an
+//! incarnation belongs to one formation at a time, so two formations of one group never both
+//! commit entries.
 
 use std::collections;
 
@@ -12,17 +13,17 @@
 
 use crate::{entry::Voters, message::Formation, time};
 
-/// How long an answer counts, microseconds.
-const FRESH: u64 = 800 * time::MS;
-/// How long a majority waits for the remaining seats, microseconds.
-const PATIENCE: u64 = 600 * time::MS;
-/// Between two rounds of questions, microseconds.
-const ROUND: u64 = 100 * time::MS;
+/// How long a report or an attempt at a formation is valid, in microseconds.
+const REPORT_TTL: u64 = 800 * time::MS;
+/// How long an instance that sees a majority waits for the remaining seats, in microseconds.
+const MAJORITY_WAIT: u64 = 600 * time::MS;
+/// Interval between two rounds of probes, in microseconds.
+const PROBE_INTERVAL: u64 = 100 * time::MS;
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct Report {
     at: u64,
-    found: Option<Formation>,
+    formation: Option<Formation>,
 }
 
 #[derive(Clone, Debug)]
@@ -32,46 +33,46 @@
     at: u64,
 }
 
-/// What a seeking instance does next.
+/// Next action of an instance that belongs to no formation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Nothing yet.
+pub enum Action {
+    /// Do nothing yet.
     Wait,
-    /// Ask everybody who is there.
+    /// Probe all other instances.
     Probe,
-    /// Ask the seats to grant this formation.
+    /// Ask these seats to grant the formation.
     Ask(Formation, Vec<name::Name>),
-    /// The formation has its majority: found the group with these voters.
-    Found(Formation, Voters),
+    /// The formation has its majority of grants: start the group with these voters.
+    Bootstrap(Formation, Voters),
 }
 
-/// An instance that belongs to no formation.
+/// Formation state of an instance that belongs to no formation.
 #[derive(Clone, Debug)]
 pub struct Seeker {
     me: name::Member,
     seats: Vec<name::Name>,
-    heard: collections::BTreeMap<name::Name, Heard>,
-    majority: Option<u64>,
+    reports: collections::BTreeMap<name::Name, Report>,
+    majority_since: Option<u64>,
     attempt: Option<Attempt>,
-    next: u64,
+    next_round: u64,
 }
 
 impl Seeker {
-    /// A seeker for a group with these seats.
+    /// Creates a seeker for a group with these seats.
     pub fn new(me: name::Member, seats: Vec<name::Name>) -> Self {
-        let heard = collections::BTreeMap::new();
-        Self { me, seats, heard, majority: None, attempt: None, next: 0 }
+        let reports = collections::BTreeMap::new();
+        Self { me, seats, reports, majority_since: None, attempt: None, next_round: 0 }
     }
 
-    /// Takes news of another instance: the formation it belongs to, if any.
-    pub fn hear(&mut self, from: &name::Member, found: Option<Formation>, now: u64) {
-        let heard = Heard { at: now, found };
-        self.heard.insert(from.name.clone(), heard);
+    /// Records a report from another instance: the formation that it belongs to, if any.
+    pub fn on_report(&mut self, from: &name::Member, formation: Option<Formation>, now: u64) {
+        let report = Report { at: now, formation };
+        self.reports.insert(from.name.clone(), report);
     }
 
-    /// Takes a grant.
-    pub fn granted(&mut self, from: &name::Member, formation: Formation, now: u64) {
-        self.hear(from, None, now);
+    /// Records a grant.
+    pub fn on_grant(&mut self, from: &name::Member, formation: Formation, now: u64) {
+        self.on_report(from, None, now);
         if let Some(attempt) = &mut self.attempt
             && attempt.formation == formation
         {
@@ -79,65 +80,68 @@
         }
     }
 
-    /// What to do at `now`; `formation` is the identity that a formation begun now would get.
-    pub fn next(&mut self, now: u64, formation: Formation) -> Next {
-        if let Some(founded) = self.founded() {
-            return founded;
+    /// Returns the next action at `now`; `formation` is the identity that a formation started now
+    /// would get.
+    pub fn next_action(&mut self, now: u64, formation: Formation) -> Action {
+        if let Some(bootstrap) = self.granted_formation() {
+            return bootstrap;
         }
-        if now < self.next {
-            return Next::Wait;
+        if now < self.next_round {
+            return Action::Wait;
         }
-        self.next = now + ROUND;
-        if self.may_form(now) && self.attempt.as_ref().is_none_or(|a| now >= a.at + FRESH) {
-            return self.ask(now, formation);
+        self.next_round = now + PROBE_INTERVAL;
+        if self.may_form(now) && self.attempt.as_ref().is_none_or(|a| now >= a.at + REPORT_TTL) {
+            return self.request_grants(now, formation);
         }
-        Next::Probe
+        Action::Probe
     }
 
-    fn founded(&self) -> Option<Next> {
+    fn granted_formation(&self) -> Option<Action> {
         let attempt = self.attempt.as_ref()?;
         if attempt.grants.len() < self.quorum() {
             return None;
         }
-        let life = |name: &name::Name| {
+        let voter = |name: &name::Name| {
             let granted = attempt.grants.get(name).copied();
             name::Member::new(name, granted.unwrap_or(0))
         };
-        let voters = Voters(self.seats.iter().map(life).collect());
-        Some(Next::Found(attempt.formation, voters))
+        let voters = Voters(self.seats.iter().map(voter).collect());
+        Some(Action::Bootstrap(attempt.formation, voters))
     }
 
-    fn ask(&mut self, now: u64, formation: Formation) -> Next {
+    fn request_grants(&mut self, now: u64, formation: Formation) -> Action {
         let grants = collections::BTreeMap::from([(self.me.name.clone(), self.me.life)]);
         self.attempt = Some(Attempt { formation, grants, at: now });
-        if let Some(founded) = self.founded() {
-            return founded;
+        if let Some(bootstrap) = self.granted_formation() {
+            return bootstrap;
         }
         let me = &self.me.name;
         let others = self.seats.iter().filter(|seat| *seat != me).cloned().collect();
-        Next::Ask(formation, others)
+        Action::Ask(formation, others)
     }
 
     /// Whether this instance is the one to form the group now: it has a seat, a majority of the
-    /// seats is there, nobody knows a formation, and no earlier seat is there.
+    /// seats is present, no instance reports a formation, and no earlier seat is present. If some
+    /// seats are missing, the majority must also have been present for `MAJORITY_WAIT`.
     fn may_form(&mut self, now: u64) -> bool {
-        let fresh = |heard: &&Heard| now < heard.at + FRESH;
-        if self.heard.values().filter(fresh).any(|heard| heard.found.is_some()) {
-            self.majority = None;
+        let is_fresh = |report: &&Report| now < report.at + REPORT_TTL;
+        if self.reports.values().filter(is_fresh).any(|report| report.formation.is_some()) {
+            self.majority_since = None;
             return false;
         }
-        let here = |seat: &&name::Name| {
-            **seat == self.me.name || self.heard.get(*seat).is_some_and(|heard| fresh(&heard))
+        let is_present = |seat: &&name::Name| {
+            **seat == self.me.name
+                || self.reports.get(*seat).is_some_and(|report| is_fresh(&report))
         };
-        let present: Vec<_> = self.seats.iter().filter(here).collect();
+        let present: Vec<_> = self.seats.iter().filter(is_present).collect();
         if present.len() < self.quorum() {
-            self.majority = None;
+            self.majority_since = None;
             return false;
         }
-        let since = *self.majority.get_or_insert(now);
+        let since = *self.majority_since.get_or_insert(now);
         let complete = present.len() == self.seats.len();
-        let first = present.first().is_some_and(|name| **name == self.me.name);
-        first && (complete || now >= since + PATIENCE)
+        let is_first = present.first().is_some_and(|name| **name == self.me.name);
+        is_first && (complete || now >= since + MAJORITY_WAIT)
     }
 
     fn quorum(&self) -> usize {
--- a/crates/coord/src/group.rs
+++ b/crates/coord/src/group.rs
@@ -1,5 +1,5 @@
-//! One member's part in one replicated group: formation, agreement, the state machine, and the
-//! upkeep of seats whose instance came back with another incarnation.
+//! One member of one replicated group: formation, consensus, the state machine, and the repair of
+//! seats whose instance restarted with another incarnation.
 
 use std::collections;
 
@@ -13,20 +13,20 @@
     time,
 };
 
-/// Allowance for the difference between two wall clocks, in milliseconds.
+/// Allowed difference between two wall clocks, in milliseconds.
 pub const SKEW_MS: u64 = 1_000;
-/// Log entries kept for slow followers when a snapshot covers them.
+/// Number of log entries that a member keeps for slow followers although a snapshot covers them.
 pub(crate) const KEPT_ENTRIES: u64 = 2_048;
-/// Applied entries after which the log is compacted.
+/// Number of applied entries after which a member compacts its log.
 pub(crate) const COMPACT_EVERY: u64 = 4_096;
-/// A follower that does not vote is dropped when not heard of for this long, microseconds.
-pub(crate) const DROP_LEARNER: u64 = 10_000 * time::MS;
-/// Between two questions of a member that lost its leader, microseconds.
-pub(crate) const SEARCH: u64 = 300 * time::MS;
+/// How long a learner may be silent before the leader drops it, in microseconds.
+pub(crate) const LEARNER_TIMEOUT: u64 = 10_000 * time::MS;
+/// Interval between two probes of a member that has no leader, in microseconds.
+pub(crate) const PROBE_INTERVAL: u64 = 300 * time::MS;
 
 /// A replicated state machine.
 pub trait Machine {
-    /// What a command changed.
+    /// Effect of a command.
     type Effect;
 
     /// Applies one committed command.
@@ -38,46 +38,47 @@
     /// Replaces the whole state.
     fn restore(&mut self, state: &[u8]);
 
-    /// The member has left its formation, and what it agreed on counts no more.
+    /// Handles that the member has left its formation: what the formation agreed on is no longer
+    /// valid.
     fn reset(&mut self);
 }
 
-/// What does not change in the life of a group's member.
+/// Configuration of a group member. Only [`Self::others`] changes while the member runs.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The group.
     pub group: message::Group,
     /// This member.
     pub me: name::Member,
-    /// Instances that vote.
+    /// Names of the instances that vote.
     pub seats: Vec<name::Name>,
-    /// Every other instance that may belong to the group.
+    /// Names of all other instances that may belong to the group.
     pub others: Vec<name::Name>,
-    /// Intervals.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// Whether entries are stored before they count.
+    /// Whether a member stores entries on disk before it counts them.
     pub durable: bool,
-    /// Whether the first members are named from outside ([`Group::form`]), so that the group is
-    /// never formed by agreement and never left.
+    /// Whether the caller names the first voters ([`Group::form`]), so that the instances never
+    /// form the group by agreement and never leave it.
     pub named: bool,
-    /// Applied entries after which the log is compacted.
+    /// Number of applied entries after which the member compacts its log.
     pub compact_every: u64,
-    /// Entries kept then for slow followers.
+    /// Number of entries that a compaction keeps for slow followers.
     pub kept_entries: u64,
 }
 
-/// Effects of the last calls.
+/// Effects that a member has collected since the last [`Group::take`].
 #[derive(Debug)]
 pub struct Output<E> {
-    /// Messages.
+    /// Messages to send.
     pub sends: Vec<(name::Name, message::Body)>,
-    /// Changes to store, with the number that [`Group::saved`] is to be called with.
+    /// Changes to write to disk, each with the number to pass to [`Group::saved`] afterwards.
     pub saves: Vec<(u64, Save)>,
-    /// What committed commands changed.
+    /// Effects of committed commands.
     pub effects: Vec<E>,
-    /// Whether the whole state was replaced.
+    /// Whether a snapshot replaced the whole state.
     pub restored: bool,
-    /// Whether the member left a formation and all that it knew of it.
+    /// Whether the member left a formation and discarded everything it knew of that formation.
     pub lost: bool,
 }
 
@@ -88,12 +89,12 @@
     }
 }
 
-/// What a durable member had stored.
+/// State that a durable member has stored before a restart.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
-    /// Its formation, if it belonged to one.
+    /// Formation that the member belonged to, if any.
     pub formation: Option<Formation>,
-    /// State of its engine.
+    /// State of the consensus engine.
     pub stored: raft::Stored,
     /// Commit index.
     pub commit: u64,
@@ -106,7 +107,7 @@
     pub(crate) formation: Formation,
     pub(crate) raft: Raft,
     pub(crate) applied: u64,
-    pub(crate) search: u64,
+    pub(crate) next_probe: u64,
 }
 
 #[derive(Debug)]
@@ -121,38 +122,43 @@
     pub(crate) config: Config,
     pub(crate) stage: Stage,
     pub(crate) machine: M,
-    pub(crate) lives: collections::BTreeMap<name::Name, (u64, Option<Formation>)>,
-    pub(crate) looked: u64,
-    pub(crate) issued: u64,
-    pub(crate) done: u64,
-    pub(crate) marks: collections::VecDeque<(u64, u64, u64)>,
-    pub(crate) held: collections::VecDeque<(u64, name::Name, message::Body)>,
+    /// Last known incarnation and formation of each other instance.
+    pub(crate) peer_states: collections::BTreeMap<name::Name, (u64, Option<Formation>)>,
+    pub(crate) next_probe: u64,
+    /// Number of the last change handed out to be stored.
+    pub(crate) last_issued: u64,
+    /// Number of the last change known to be on disk.
+    pub(crate) last_saved: u64,
+    /// Entries not yet known to be on disk: number of the change, index and term.
+    pub(crate) unsynced: collections::VecDeque<(u64, u64, u64)>,
+    /// Messages that wait until the change with this number is on disk.
+    pub(crate) pending_sends: collections::VecDeque<(u64, name::Name, message::Body)>,
     pub(crate) refused: u64,
     pub(crate) seed: u64,
     pub(crate) out: Output<M::Effect>,
 }
 
 impl<M: Machine> Group<M> {
-    /// A member that belongs to no formation yet.
+    /// Creates a member that belongs to no formation yet.
     pub fn new(config: Config, machine: M, seed: u64) -> Self {
         let seeker = form::Seeker::new(config.me.clone(), config.seats.clone());
         Self {
             config,
             stage: Stage::Seeking(seeker),
             machine,
-            lives: collections::BTreeMap::new(),
-            looked: 0,
-            issued: 0,
-            done: 0,
-            marks: collections::VecDeque::new(),
-            held: collections::VecDeque::new(),
+            peer_states: collections::BTreeMap::new(),
+            next_probe: 0,
+            last_issued: 0,
+            last_saved: 0,
+            unsynced: collections::VecDeque::new(),
+            pending_sends: collections::VecDeque::new(),
             refused: 0,
             seed,
             out: Output::default(),
         }
     }
 
-    /// A member that starts from what it had stored.
+    /// Resumes from the state that the member stored before a restart.
     #[must_use]
     pub fn with_recovered(mut self, recovered: Recovered, now: u64) -> Self {
         let Some(formation) = recovered.formation else {
@@ -162,15 +168,16 @@
             self.machine.restore(state);
         }
         let base = recovered.stored.log.base();
-        let mut raft = self.engine(recovered.stored, now);
-        raft.recover(recovered.commit);
-        self.stage = Stage::Joined(Box::new(Joined { formation, raft, applied: base, search: 0 }));
-        self.drain(now);
+        let mut raft = self.new_raft(recovered.stored, now);
+        raft.recover_commit(recovered.commit);
+        self.stage =
+            Stage::Joined(Box::new(Joined { formation, raft, applied: base, next_probe: 0 }));
+        self.process_output(now);
         self.out.effects.clear();
         self
     }
 
-    /// Takes the effects collected so far.
+    /// Returns the effects collected so far and clears them.
     pub fn take(&mut self) -> Output<M::Effect> {
         std::mem::take(&mut self.out)
     }
@@ -180,7 +187,7 @@
         &self.machine
     }
 
-    /// The state machine, for changes that every member makes by itself.
+    /// The state machine, for changes that each member makes locally.
     pub fn machine_mut(&mut self) -> &mut M {
         &mut self.machine
     }
@@ -200,7 +207,7 @@
         self.joined().map(|joined| joined.formation)
     }
 
-    /// The engine, once the member belongs to a formation.
+    /// The consensus engine, if the member belongs to a formation.
     pub fn raft(&self) -> Option<&Raft> {
         self.joined().map(|joined| &joined.raft)
     }
@@ -210,43 +217,44 @@
         self.raft().is_some_and(Raft::is_leader)
     }
 
-    /// Whether a leader is known and was heard from lately.
+    /// Whether this member leads or has heard from the leader within an election timeout.
     pub fn has_leader(&self, now: u64) -> bool {
         self.raft().is_some_and(|raft| raft.has_leader(now))
     }
 
-    /// End of this member's lease on its own clock; 0 without one.
+    /// End of this member's lease, on its own clock; 0 if it has none.
     pub fn lease(&self, now: u64) -> u64 {
         self.raft().map_or(0, |raft| raft.lease(now))
     }
 
-    /// Messages refused so far: wrong formation or incarnation.
+    /// Number of messages refused so far because of a wrong formation or incarnation.
     pub fn refused(&self) -> u64 {
         self.refused
     }
 
-    /// Lets time pass.
+    /// Performs the work that is due at `now`.
     pub fn tick(&mut self, now: time::Now) {
         match &mut self.stage {
-            Stage::Seeking(_) if self.config.named => self.look(now.mono),
-            Stage::Seeking(_) => self.seek(now),
+            Stage::Seeking(_) if self.config.named => self.probe_for_group(now.mono),
+            Stage::Seeking(_) => self.seek_formation(now),
             Stage::Joined(joined) => {
                 joined.raft.tick(now.mono);
-                let orphan = !joined.raft.has_leader(now.mono);
-                if orphan && joined.raft.commit() == 0 && !self.config.named {
-                    // The formation never came to be; another one may have.
-                    self.leave();
-                } else if orphan {
-                    self.search(now.mono);
+                let leaderless = !joined.raft.has_leader(now.mono);
+                if leaderless && joined.raft.commit() == 0 && !self.config.named {
+                    // This formation never committed an entry; another formation may have done so.
+                    self.leave_formation();
+                } else if leaderless {
+                    self.probe_for_leader(now.mono);
                 } else {
-                    self.repair(now.mono);
+                    self.repair_seats(now.mono);
                 }
             }
         }
-        self.drain(now.mono);
+        self.process_output(now.mono);
     }
 
-    /// Proposes a command, here or at the leader; false if none is known.
+    /// Proposes a command if this member leads, or else forwards it to the leader; returns false
+    /// if no leader is known.
     pub fn propose(&mut self, command: &bytes::Bytes, now: u64) -> bool {
         let Stage::Joined(joined) = &mut self.stage else {
             return false;
@@ -254,7 +262,7 @@
         let route = |to: u64| Route { formation: joined.formation, from: self.config.me.life, to };
         if joined.raft.is_leader() {
             joined.raft.propose(Load::Command(command.clone()), now);
-            self.drain(now);
+            self.process_output(now);
             return true;
         }
         let Some(leader) = joined.raft.leader().filter(|_| joined.raft.has_leader(now)) else {
@@ -266,80 +274,83 @@
         true
     }
 
-    /// Gives up leadership to another member, if this one leads.
+    /// Transfers leadership to another member if this one leads.
     pub fn hand_over(&mut self, now: u64) {
         if let Stage::Joined(joined) = &mut self.stage {
-            joined.raft.hand_over(|_, _| true, now);
-            self.drain(now);
+            joined.raft.transfer_leadership(|_, _| true, now);
+            self.process_output(now);
         }
     }
 
-    /// Gives up leadership to a voter among `heirs` that holds everything, if there is one.
-    pub fn hand_over_to(&mut self, heirs: &[name::Name], now: u64) {
+    /// Transfers leadership to a voter among `targets` that holds the whole log, if there is one.
+    pub fn transfer_leadership_to(&mut self, targets: &[name::Name], now: u64) {
         if let Stage::Joined(joined) = &mut self.stage
             && joined.raft.is_leader()
             && joined.raft.is_settled()
         {
             let last = joined.raft.log().last();
-            joined.raft.hand_over(|heir, matched| heirs.contains(heir) && matched == last, now);
-            self.drain(now);
+            joined.raft.transfer_leadership(
+                |target, matched| targets.contains(target) && matched == last,
+                now,
+            );
+            self.process_output(now);
         }
     }
 
-    /// The change with this number, and all before it, are stored.
+    /// Records that the change with this number and all changes before it are on disk.
     pub fn saved(&mut self, number: u64, now: u64) {
-        self.done = self.done.max(number);
-        while let Some((at, index, term)) = self.marks.front().copied()
-            && at <= self.done
+        self.last_saved = self.last_saved.max(number);
+        while let Some((at, index, term)) = self.unsynced.front().copied()
+            && at <= self.last_saved
         {
-            self.marks.pop_front();
+            self.unsynced.pop_front();
             if let Stage::Joined(joined) = &mut self.stage {
-                joined.raft.synced(index, term, now);
+                joined.raft.mark_synced(index, term, now);
             }
         }
-        while let Some((at, ..)) = self.held.front()
-            && *at <= self.done
+        while let Some((at, ..)) = self.pending_sends.front()
+            && *at <= self.last_saved
         {
-            if let Some((_, to, body)) = self.held.pop_front() {
+            if let Some((_, to, body)) = self.pending_sends.pop_front() {
                 self.out.sends.push((to, body));
             }
         }
-        self.drain(now);
+        self.process_output(now);
     }
 
-    /// Takes a message about formation.
+    /// Handles a formation message.
     pub fn on_form(&mut self, from: &name::Member, form: &Form, now: time::Now) {
-        let theirs = match form {
-            Form::Probe(theirs) | Form::Found(theirs) => *theirs,
-            // Only who belongs to no formation asks for one or grants one.
+        let reported = match form {
+            Form::Probe(formation) | Form::Found(formation) => *formation,
+            // Only a member without a formation asks for a grant or gives one.
             Form::Ask(_) | Form::Grant(_) => None,
         };
-        self.lives.insert(from.name.clone(), (from.life, theirs));
+        self.peer_states.insert(from.name.clone(), (from.life, reported));
         match form {
             Form::Probe(_) => self.on_probe(from, now.mono),
             Form::Found(found) => {
                 if let Stage::Seeking(seeker) = &mut self.stage {
-                    seeker.hear(from, *found, now.mono);
+                    seeker.on_report(from, *found, now.mono);
                 }
             }
             Form::Ask(formation) => {
                 if let Stage::Seeking(seeker) = &mut self.stage {
-                    seeker.hear(from, None, now.mono);
+                    seeker.on_report(from, None, now.mono);
                     self.send_form(&from.name, Form::Grant(*formation));
                 }
             }
             Form::Grant(formation) => {
                 if let Stage::Seeking(seeker) = &mut self.stage {
-                    seeker.granted(from, *formation, now.mono);
-                    self.seek(now);
+                    seeker.on_grant(from, *formation, now.mono);
+                    self.seek_formation(now);
                 }
             }
         }
-        self.abandon(now.mono);
-        self.drain(now.mono);
+        self.leave_if_unrecoverable(now.mono);
+        self.process_output(now.mono);
     }
 
-    /// Takes a message of agreement; false if it was refused.
+    /// Handles a consensus message; returns false if the member refused it.
     pub fn on_raft(
         &mut self,
         from: &name::Name,
@@ -349,7 +360,7 @@
     ) -> bool {
         let from = name::Member::new(from, route.from);
         if route.to == self.config.me.life && self.formation() != Some(route.formation) {
-            self.adopt(route.formation, &body, now);
+            self.join_formation(route.formation, &body, now);
         }
         let Stage::Joined(joined) = &mut self.stage else {
             self.refused += 1;
@@ -360,12 +371,12 @@
             return false;
         }
         joined.raft.step(&from, body, now);
-        self.lives.insert(from.name, (from.life, Some(route.formation)));
-        self.drain(now);
+        self.peer_states.insert(from.name, (from.life, Some(route.formation)));
+        self.process_output(now);
         true
     }
 
-    /// Takes a command that another member proposes; false if it was refused.
+    /// Handles a command that another member proposes; returns false if this member refused it.
     pub fn on_propose(
         &mut self,
         from: &name::Name,
@@ -384,8 +395,8 @@
         if joined.raft.propose(Load::Command(command), now).is_none() {
             return false;
         }
-        joined.raft.hurry(&from);
-        self.drain(now);
+        joined.raft.notify_commit(&from);
+        self.process_output(now);
         true
     }
 
@@ -396,7 +407,7 @@
         }
     }
 
-    pub(crate) fn engine(&self, stored: raft::Stored, now: u64) -> Raft {
+    pub(crate) fn new_raft(&self, stored: raft::Stored, now: u64) -> Raft {
         let config = &self.config;
         Raft::new(config.me.clone(), config.timing, config.durable, stored, now, self.seed)
     }
@@ -408,13 +419,13 @@
 
     pub(crate) fn save(&mut self, save: Save) {
         if self.config.durable {
-            self.issued += 1;
-            self.out.saves.push((self.issued, save));
+            self.last_issued += 1;
+            self.out.saves.push((self.last_issued, save));
         }
     }
 
-    /// Moves the engine's effects on.
-    pub(crate) fn drain(&mut self, now: u64) {
+    /// Applies the entries that the engine committed, and hands on its messages and changes.
+    pub(crate) fn process_output(&mut self, now: u64) {
         let Stage::Joined(joined) = &mut self.stage else {
             return;
         };
@@ -435,29 +446,29 @@
             if let Save::Entry(entry) = &save
                 && self.config.durable
             {
-                self.marks.push_back((self.issued + 1, entry.index, entry.term));
+                self.unsynced.push_back((self.last_issued + 1, entry.index, entry.term));
             }
             self.save(save);
         }
         for (to, body) in out.sends.drain(..) {
-            self.send(formation, &to, body);
+            self.send_raft(formation, &to, body);
         }
-        self.catch_up(&out.behind, now);
+        self.send_snapshots(&out.behind, now);
         self.compact();
     }
 
-    fn send(&mut self, formation: Formation, to: &name::Member, body: message::Raft) {
+    fn send_raft(&mut self, formation: Formation, to: &name::Member, body: message::Raft) {
         let route = Route { formation, from: self.config.me.life, to: to.life };
-        let free = raft::is_free(&body) || self.done >= self.issued;
+        let can_send = raft::can_precede_sync(&body) || self.last_saved >= self.last_issued;
         let body = message::Body::Raft(self.config.group.clone(), route, body);
-        if free {
+        if can_send {
             self.out.sends.push((to.name.clone(), body));
         } else {
-            self.held.push_back((self.issued, to.name.clone(), body));
+            self.pending_sends.push_back((self.last_issued, to.name.clone(), body));
         }
     }
 
-    fn catch_up(&mut self, behind: &[name::Member], now: u64) {
+    fn send_snapshots(&mut self, behind: &[name::Member], now: u64) {
         if behind.is_empty() {
             return;
         }
@@ -470,7 +481,7 @@
         }
         let formation = joined.formation;
         for (to, body) in joined.raft.take().sends {
-            self.send(formation, &to, body);
+            self.send_raft(formation, &to, body);
         }
     }
 
--- a/crates/coord/src/machine.rs
+++ b/crates/coord/src/machine.rs
@@ -11,12 +11,12 @@
     pub tree: tree::Tree,
 }
 
-/// A change that was applied, and how it ended.
+/// An applied change and its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Changed {
     /// Identity of the change.
     pub change: uuid::Uuid,
-    /// How it ended.
+    /// Outcome of the change.
     pub outcome: tree::Outcome,
 }
 
@@ -37,15 +37,16 @@
 
     fn restore(&mut self, state: &[u8]) {
         let tree: tree::Tree = postcard::from_bytes(state).unwrap_or_default();
-        // A leader that was just elected may not know yet how far its log is committed. Every
-        // tree is a prefix of the same history, so the longer one stands.
+        // A newly elected leader may not know yet how far its log is committed. Every tree is a
+        // prefix of the same history, so this member keeps the longer one.
         if tree.version() >= self.tree.version() {
             self.tree = tree;
         }
     }
 
     fn reset(&mut self) {
-        // Settings go on from formation to formation: an instance serves from the last it has.
+        // Settings carry over from one formation to the next: an instance keeps serving with the
+        // last settings that it has.
     }
 }
 
@@ -77,7 +78,7 @@
     }
 }
 
-/// Encodes a command or a state.
+/// Encodes a command or a state in the postcard format.
 pub fn encode<T: serde::Serialize>(value: &T) -> bytes::Bytes {
     postcard::to_stdvec(value).unwrap_or_default().into()
 }
--- a/crates/coord/src/member.rs
+++ b/crates/coord/src/member.rs
@@ -1,63 +1,64 @@
-//! Who votes where: seats of the settings group and of the journals, from the bootstrap alone.
+//! Voters of the settings group and of the journals, computed from the bootstrap alone.
 
 use std::collections;
 
 use state::name;
 
-/// Most voters of the settings group.
+/// Maximum number of voters in the settings group.
 pub const SETTINGS_SEATS: usize = 5;
-/// Fewest voters of a journal, if there are that many instances.
+/// Minimum number of voters of a journal, if there are that many instances.
 pub const JOURNAL_SEATS: usize = 3;
 
-/// An instance as every other one knows it.
+/// Description of an instance that all other instances know.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: name::Name,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: name::Name,
-    /// Whether it has a data folder.
+    /// Whether the instance has a data folder.
     pub disk: bool,
 }
 
-/// Voters of the settings group: instances with disks, at most [`SETTINGS_SEATS`], taken from the
-/// availability zones in turn.
+/// Returns the voters of the settings group: at most [`SETTINGS_SEATS`] instances with a data
+/// folder, taken from the availability zones in turn.
 pub fn settings_seats(all: &[Instance]) -> Vec<name::Name> {
     let disks = all.iter().filter(|instance| instance.disk);
-    let mut seats = in_turn(disks);
+    let mut seats = interleave_zones(disks);
     seats.truncate(SETTINGS_SEATS);
     seats.sort();
     seats
 }
 
-/// Voters of a zone's journal: an odd number of its instances, with witnesses of other zones
-/// where it has fewer than [`JOURNAL_SEATS`].
+/// Returns the voters of a zone's journal: an odd number of the zone's instances, with witnesses
+/// from other zones if the zone has fewer than [`JOURNAL_SEATS`] instances.
 pub fn journal_seats(all: &[Instance], zone: &name::Name) -> Vec<name::Name> {
-    let home = all.iter().filter(|instance| instance.zone == *zone);
-    let mut seats: Vec<_> = home.map(|instance| instance.name.clone()).collect();
+    let local = all.iter().filter(|instance| instance.zone == *zone);
+    let mut seats: Vec<_> = local.map(|instance| instance.name.clone()).collect();
     seats.sort();
     if seats.len() >= JOURNAL_SEATS {
-        seats.truncate(odd(seats.len()));
+        seats.truncate(round_down_to_odd(seats.len()));
         return seats;
     }
-    let away = all.iter().filter(|instance| instance.zone != *zone);
+    let remote = all.iter().filter(|instance| instance.zone != *zone);
     let missing = JOURNAL_SEATS - seats.len();
-    seats.extend(in_turn(away).into_iter().take(missing));
-    seats.truncate(odd(seats.len()));
+    seats.extend(interleave_zones(remote).into_iter().take(missing));
+    seats.truncate(round_down_to_odd(seats.len()));
     seats
 }
 
-/// Availability zones, in order.
+/// Returns the availability zones in sorted order.
 pub fn zones(all: &[Instance]) -> collections::BTreeSet<name::Name> {
     all.iter().map(|instance| instance.zone.clone()).collect()
 }
 
-fn odd(count: usize) -> usize {
+/// Rounds an even count other than 0 down to the next odd one.
+fn round_down_to_odd(count: usize) -> usize {
     if count == 0 || count % 2 == 1 { count } else { count - 1 }
 }
 
-/// The first instance of each zone, then the second of each, and so on.
-fn in_turn<'a>(instances: impl Iterator<Item = &'a Instance>) -> Vec<name::Name> {
+/// Returns the first instance of each zone, then the second of each, and so on.
+fn interleave_zones<'a>(instances: impl Iterator<Item = &'a Instance>) -> Vec<name::Name> {
     let mut zones = collections::BTreeMap::<_, Vec<_>>::new();
     for instance in instances {
         zones.entry(&instance.zone).or_default().push(instance.name.clone());
--- a/crates/coord/src/mirror.rs
+++ b/crates/coord/src/mirror.rs
@@ -1,4 +1,4 @@
-//! What a durable member has stored, rebuilt from its records.
+//! State of a durable member, rebuilt from its stored records.
 
 use state::name;
 
@@ -16,7 +16,7 @@
     state: bytes::Bytes,
 }
 
-/// What the folder holds, as the group sees it.
+/// In-memory copy of the group state that the data folder holds.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
     formation: Option<message::Formation>,
@@ -29,13 +29,14 @@
 }
 
 impl Mirror {
-    /// What a snapshot and the records after it hold; nothing if they cannot be read.
+    /// Rebuilds the state from a snapshot and the records after it; returns `None` if any of them
+    /// cannot be decoded.
     pub fn load(snapshot: Option<&[u8]>, records: &[Vec<u8>]) -> Option<Self> {
         let mut mirror = Self::default();
         if let Some(bytes) = snapshot {
             let snapshot: Snapshot = postcard::from_bytes(bytes).ok()?;
             mirror.formation = Some(snapshot.formation);
-            mirror.replace(snapshot.index, snapshot.term, snapshot.voters, snapshot.state);
+            mirror.install_snapshot(snapshot.index, snapshot.term, snapshot.voters, snapshot.state);
         }
         for record in records {
             mirror.apply(postcard::from_bytes(record).ok()?);
@@ -43,23 +44,23 @@
         Some(mirror)
     }
 
-    /// Takes one stored change.
+    /// Applies one stored change.
     pub fn apply(&mut self, save: raft::Save) {
         match save {
             raft::Save::Hard(term, vote) => (self.term, self.vote) = (term, vote),
-            raft::Save::Entry(entry) => self.push(entry),
+            raft::Save::Entry(entry) => self.push_entry(entry),
             raft::Save::Commit(index) => self.commit = self.commit.max(index),
             raft::Save::Formed(formation, voters) => {
                 *self = Self { formation: Some(formation), voters, ..Self::default() };
             }
             raft::Save::Reset => *self = Self::default(),
             raft::Save::Snapshot { index, term, voters, state } => {
-                self.replace(index, term, voters, state);
+                self.install_snapshot(index, term, voters, state);
             }
         }
     }
 
-    fn push(&mut self, entry: Entry) {
+    fn push_entry(&mut self, entry: Entry) {
         if entry.index <= self.log.base() {
             return;
         }
@@ -69,7 +70,7 @@
         }
     }
 
-    fn replace(&mut self, index: u64, term: u64, voters: Voters, state: bytes::Bytes) {
+    fn install_snapshot(&mut self, index: u64, term: u64, voters: Voters, state: bytes::Bytes) {
         if self.log.term(index) == Some(term) {
             self.log.compact(index);
         } else {
@@ -80,7 +81,8 @@
         self.state = Some(state);
     }
 
-    /// The snapshot and the records that together hold the same.
+    /// Returns a snapshot and the records after it that together hold the same state; `None` if
+    /// there is no formation or no snapshot yet.
     pub fn compacted(&self) -> Option<(Vec<u8>, Vec<Vec<u8>>)> {
         let snapshot = Snapshot {
             formation: self.formation?,
@@ -89,15 +91,15 @@
             voters: self.voters.clone(),
             state: self.state.clone()?,
         };
-        let head =
+        let header =
             [raft::Save::Hard(self.term, self.vote.clone()), raft::Save::Commit(self.commit)];
         let entries = self.log.iter().cloned().map(raft::Save::Entry);
-        let records = head.into_iter().chain(entries);
+        let records = header.into_iter().chain(entries);
         let records = records.map(|save| postcard::to_stdvec(&save).unwrap_or_default()).collect();
         Some((postcard::to_stdvec(&snapshot).ok()?, records))
     }
 
-    /// What the group starts from.
+    /// Returns the state that the group starts from.
     pub fn recovered(&self) -> group::Recovered {
         let stored = raft::Stored {
             term: self.term,
@@ -109,7 +111,7 @@
         group::Recovered { formation, stored, commit, state }
     }
 
-    /// Entries of the log that follow the snapshot.
+    /// Number of log entries after the snapshot.
     pub fn entries(&self) -> usize {
         self.log.iter().count()
     }
--- a/crates/coord/src/raft.rs
+++ b/crates/coord/src/raft.rs
@@ -2,11 +2,13 @@
 //! single-step voter changes.
 //!
 //! The algorithm is Raft (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014). The engine
-//! is pure: it is told the time and the messages, and its effects are collected in [`Output`].
+//! performs no I/O and reads no clock: its caller passes in the time and the messages, and the
+//! engine collects its effects in [`Output`].
 //!
-//! Leases: an answer to a heartbeat carries the follower's clock, and the next heartbeat of a
-//! leader that still holds a quorum echoes it. What the follower sent at `t` and sees echoed
-//! proves that nobody expels it before `t` plus the lease, by its own clock.
+//! Leases: a follower's reply to a heartbeat carries the follower's clock, and a leader that still
+//! has a quorum echoes that value in its next heartbeat. A follower that sent its clock value `t`
+//! and receives it back knows that no leader expels it before `t` plus the lease, measured on the
+//! follower's own clock.
 
 use std::collections;
 
@@ -19,41 +21,42 @@
     message::Raft as Message,
 };
 
-/// Most entries of one message.
+/// Maximum number of entries in one message.
 pub(crate) const MAX_BATCH: usize = 256;
-/// A snapshot is not sent to the same follower again within this time, microseconds.
-pub(crate) const SNAPSHOT_PAUSE: u64 = 1_000_000;
+/// Minimum time between two snapshots to the same follower, in microseconds.
+pub(crate) const SNAPSHOT_INTERVAL: u64 = 1_000_000;
 
-/// No group ever gets to this term; a message that names a higher one is damaged.
+/// Highest valid term. No group ever reaches it, so a message with a higher term is corrupt.
 const MAX_TERM: u64 = 1 << 48;
 
-/// Intervals of a group, in microseconds.
+/// Intervals and timeouts of a group, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between two heartbeats of an idle leader.
+    /// Interval between two heartbeats of an idle leader.
     pub heartbeat: u64,
-    /// Shortest time without a leader before an election; the longest is twice as long.
+    /// Minimum time without a leader before a member starts an election. The actual timeout is
+    /// random, up to twice as long.
     pub election: u64,
-    /// Length of a lease. At most [`Self::election`].
+    /// Duration of a lease, at most [`Self::election`].
     pub lease: u64,
 }
 
-/// A change that must be on disk before votes that depend on it are sent.
+/// A change that a member must write to disk before it sends votes that depend on the change.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Save {
-    /// Term and vote.
+    /// The current term and the vote in that term.
     Hard(u64, Option<name::Member>),
-    /// An entry; it replaces the one at its index and drops all after it.
+    /// A log entry. It replaces the entry at its index and removes all entries after that.
     Entry(Entry),
-    /// Entries up to this index are committed.
+    /// All entries up to this index are committed.
     Commit(u64),
-    /// The member belongs to this formation from here on, with nothing in its log.
+    /// The member joins this formation with an empty log.
     Formed(message::Formation, Voters),
-    /// The member belongs to no formation any more.
+    /// The member leaves its formation.
     Reset,
-    /// Everything up to the index is replaced by a snapshot.
+    /// A snapshot replaces everything up to `index`.
     Snapshot {
-        /// Last index covered.
+        /// Last index that the snapshot covers.
         index: u64,
         /// Term at that index.
         term: u64,
@@ -64,63 +67,67 @@
     },
 }
 
-/// Effects of the last calls.
+/// Effects that the engine has collected since the last [`Raft::take`].
 #[derive(Debug, Default)]
 pub struct Output {
     /// Messages to send.
     pub sends: Vec<(name::Member, Message)>,
-    /// Changes to store.
+    /// Changes to write to disk.
     pub saves: Vec<Save>,
     /// Newly committed entries, in order.
     pub committed: Vec<Entry>,
-    /// A snapshot that replaces the state machine; it goes before `committed`.
+    /// A snapshot that replaces the state machine before `committed` is applied.
     pub restored: Option<bytes::Bytes>,
     /// Followers that need a snapshot (see [`Raft::send_snapshot`]).
     pub behind: Vec<name::Member>,
 }
 
-/// What a leader knows of one follower.
+/// Replication state that a leader keeps for one follower.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
-    /// Last index known to match.
-    pub matched: u64,
-    /// When it was last heard from; leader's clock.
-    pub heard: u64,
-    pub(crate) next: u64,
-    pub(crate) acked: u64,
-    pub(crate) stamp: u64,
-    pub(crate) snapshot: u64,
+    /// Highest log index at which the follower's log is known to match the leader's.
+    pub match_index: u64,
+    /// When the follower last replied, on the leader's clock; initially when replication began.
+    pub last_contact: u64,
+    pub(crate) next_index: u64,
+    /// Send time of the latest message that the follower acknowledged, on the leader's clock.
+    pub(crate) acked_at: u64,
+    /// Latest clock value that the follower reported, on the follower's clock.
+    pub(crate) follower_clock: u64,
+    /// When the leader last sent a snapshot to the follower; 0 if it never did.
+    pub(crate) snapshot_at: u64,
 }
 
 #[derive(Debug)]
-pub(crate) struct Lead {
+pub(crate) struct LeaderState {
     pub(crate) peers: collections::BTreeMap<name::Member, Progress>,
-    pub(crate) beat: u64,
-    pub(crate) since: u64,
-    pub(crate) eager: collections::BTreeMap<name::Member, u64>,
+    pub(crate) next_heartbeat: u64,
+    pub(crate) elected_at: u64,
+    /// Members to notify once the commit index reaches the given index.
+    pub(crate) commit_waiters: collections::BTreeMap<name::Member, u64>,
 }
 
 #[derive(Debug)]
 pub(crate) enum Role {
     Follower,
     Candidate { pre: bool, votes: collections::BTreeSet<name::Member> },
-    Leader(Lead),
+    Leader(LeaderState),
 }
 
-/// State that an engine starts from.
+/// Initial state of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
-    /// Term.
+    /// Current term.
     pub term: u64,
-    /// Vote in that term.
+    /// Member that this one voted for in that term.
     pub vote: Option<name::Member>,
-    /// Log after the snapshot.
+    /// Log entries after the snapshot.
     pub log: log::Log,
-    /// Voters at the snapshot.
+    /// Voters as of the snapshot.
     pub voters: Voters,
 }
 
-/// One member's engine of one group.
+/// Consensus engine of one member of one group.
 #[derive(Debug)]
 pub struct Raft {
     pub(crate) me: name::Member,
@@ -136,15 +143,16 @@
     pub(crate) synced: u64,
     pub(crate) role: Role,
     pub(crate) leader: Option<name::Member>,
-    pub(crate) heard: u64,
-    pub(crate) echo: u64,
-    pub(crate) elect: u64,
+    pub(crate) leader_contact: u64,
+    /// Latest value of this member's own clock that the leader echoed; 0 if there is none.
+    pub(crate) lease_start: u64,
+    pub(crate) election_at: u64,
     pub(crate) out: Output,
 }
 
 impl Raft {
-    /// An engine that starts as a follower. `durable` says that entries count only once
-    /// [`Self::synced`] was called for them.
+    /// Creates an engine that starts as a follower. If `durable` is set, this member counts an
+    /// entry as stored only after a call of [`Self::mark_synced`] for it.
     pub fn new(
         me: name::Member,
         timing: Timing,
@@ -167,18 +175,18 @@
             base_voters: stored.voters,
             role: Role::Follower,
             leader: None,
-            heard: 0,
-            echo: 0,
-            elect: 0,
+            leader_contact: 0,
+            lease_start: 0,
+            election_at: 0,
             out: Output::default(),
         };
         raft.refresh_voters();
-        raft.reset_election(now);
+        raft.reset_election_timer(now);
         raft
     }
 
-    /// An engine that leads a group which it has just formed with `voters`.
-    pub fn found(
+    /// Creates an engine that leads a group newly formed with `voters`.
+    pub fn bootstrap(
         me: name::Member,
         timing: Timing,
         durable: bool,
@@ -189,18 +197,18 @@
         let stored = Stored { term: 1, vote: Some(me.clone()), voters, ..Stored::default() };
         let mut raft = Self::new(me, timing, durable, stored, now, seed);
         raft.out.saves.push(Save::Hard(raft.term, raft.vote.clone()));
-        raft.lead(now);
+        raft.become_leader(now);
         let voters = raft.voters.clone();
         raft.append(Load::Voters(voters), now);
         raft
     }
 
-    /// Takes the effects collected so far.
+    /// Returns the effects collected so far and clears them.
     pub fn take(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
 
-    /// Present term.
+    /// Current term.
     pub fn term(&self) -> u64 {
         self.term
     }
@@ -215,12 +223,12 @@
         &self.log
     }
 
-    /// Voters, as of the last entry of the log.
+    /// Voters as of the last log entry.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// The leader, as far as this member knows.
+    /// Leader that this member currently knows of.
     pub fn leader(&self) -> Option<&name::Member> {
         self.leader.as_ref()
     }
@@ -230,21 +238,22 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether the leader was heard from within an election timeout.
+    /// Whether this member leads or has heard from the leader within an election timeout.
     pub fn has_leader(&self, now: u64) -> bool {
-        self.is_leader() || (self.leader.is_some() && now < self.heard + self.timing.election)
+        self.is_leader()
+            || (self.leader.is_some() && now < self.leader_contact + self.timing.election)
     }
 
-    /// End of this member's lease on its own clock.
+    /// End of this member's lease, on its own clock.
     pub fn lease(&self, now: u64) -> u64 {
         match &self.role {
             Role::Leader(lead) => self.quorum_ack(lead, now) + self.timing.lease,
-            _ if self.echo == 0 => 0,
-            _ => self.echo + self.timing.lease,
+            _ if self.lease_start == 0 => 0,
+            _ => self.lease_start + self.timing.lease,
         }
     }
 
-    /// Followers and learners of a leader with what it knows of them.
+    /// Followers and learners with their replication state; empty unless this member leads.
     pub fn peers(&self) -> impl Iterator<Item = (&name::Member, &Progress)> {
         let lead = match &self.role {
             Role::Leader(lead) => Some(lead),
@@ -253,42 +262,43 @@
         lead.into_iter().flat_map(|lead| lead.peers.iter())
     }
 
-    /// Since when this member leads; nothing if it does not.
-    pub fn leads_since(&self) -> Option<u64> {
+    /// When this member became leader; `None` if it does not lead.
+    pub fn leader_since(&self) -> Option<u64> {
         match &self.role {
-            Role::Leader(lead) => Some(lead.since),
+            Role::Leader(lead) => Some(lead.elected_at),
             _ => None,
         }
     }
 
-    /// Whether an entry of the present term is committed, so that a leader's commit index covers
-    /// everything that any leader before it has committed.
+    /// Whether an entry of the current term is committed, so that a leader's commit index covers
+    /// everything that any earlier leader has committed.
     pub fn is_current(&self) -> bool {
         self.log.term(self.commit) == Some(self.term)
     }
 
-    /// Whether the last voter change is committed, so that another may follow.
+    /// Whether the latest voter change is committed, so that another may follow.
     pub fn is_settled(&self) -> bool {
         let is_change = |entry: &&Entry| matches!(entry.load, Load::Voters(_));
         let last = self.log.iter().rev().find(is_change);
         self.is_current() && last.is_none_or(|entry| entry.index <= self.commit)
     }
 
-    /// Lets time pass.
+    /// Performs the work that is due at `now`: heartbeats, an election, or stepping down after the
+    /// loss of the quorum.
     pub fn tick(&mut self, now: u64) {
         if let Role::Leader(lead) = &self.role {
-            let quorum = self.quorum_ack(lead, now).max(lead.since);
-            if now >= quorum + self.timing.election {
-                self.follow(None, now);
-            } else if now >= lead.beat {
+            let last_quorum = self.quorum_ack(lead, now).max(lead.elected_at);
+            if now >= last_quorum + self.timing.election {
+                self.become_follower(None, now);
+            } else if now >= lead.next_heartbeat {
                 self.broadcast(now);
             }
-        } else if now >= self.elect {
+        } else if now >= self.election_at {
             self.campaign(true, now);
         }
     }
 
-    /// Appends a load as the leader; gives its index, or nothing if this member does not lead.
+    /// Appends an entry if this member leads and returns its index; otherwise returns `None`.
     pub fn propose(&mut self, load: Load, now: u64) -> Option<u64> {
         if !self.is_leader() {
             return None;
@@ -296,59 +306,60 @@
         Some(self.append(load, now))
     }
 
-    /// Tells `member` at once when what was proposed so far is committed.
-    pub fn hurry(&mut self, member: &name::Member) {
+    /// Sends `member` the commit index as soon as everything proposed so far is committed.
+    pub fn notify_commit(&mut self, member: &name::Member) {
         let last = self.log.last();
         if let Role::Leader(lead) = &mut self.role
             && lead.peers.contains_key(member)
         {
-            lead.eager.insert(member.clone(), last);
+            lead.commit_waiters.insert(member.clone(), last);
         }
     }
 
-    /// Starts to replicate to a member that does not vote.
+    /// Starts to replicate to a learner, which is a member that does not vote.
     pub fn add_learner(&mut self, member: &name::Member, now: u64) {
-        let next = self.log.last() + 1;
+        let next_index = self.log.last() + 1;
         if let Role::Leader(lead) = &mut self.role
             && *member != self.me
             && !lead.peers.contains_key(member)
         {
-            lead.peers.retain(|peer, _| peer.name != member.name || self.voters.holds(peer));
-            let progress = Progress { next, heard: now, ..Progress::default() };
+            lead.peers.retain(|peer, _| peer.name != member.name || self.voters.contains(peer));
+            let progress = Progress { next_index, last_contact: now, ..Progress::default() };
             lead.peers.insert(member.clone(), progress);
             self.send_append(member, now);
         }
     }
 
-    /// Stops replicating to a member that does not vote.
+    /// Stops replicating to a learner.
     pub fn drop_learner(&mut self, member: &name::Member) {
         if let Role::Leader(lead) = &mut self.role
-            && !self.voters.holds(member)
+            && !self.voters.contains(member)
         {
             lead.peers.remove(member);
         }
     }
 
-    /// Entries up to `index`, of `term`, are on disk.
-    pub fn synced(&mut self, index: u64, term: u64, now: u64) {
+    /// Records that entries up to `index`, which has `term`, are on disk.
+    pub fn mark_synced(&mut self, index: u64, term: u64, now: u64) {
         if index <= self.synced || self.log.term(index) != Some(term) {
             return;
         }
         self.synced = index;
         if self.is_leader() {
-            self.advance(now);
+            self.advance_commit(now);
         } else if let Some(leader) = self.leader.clone() {
             self.acknowledge(&leader, index, 0, now);
         }
     }
 
-    /// Takes `index` as committed, as it was stored before a restart.
-    pub fn recover(&mut self, index: u64) {
+    /// Restores the commit index that was stored before a restart.
+    pub fn recover_commit(&mut self, index: u64) {
         self.commit_to(index);
         self.out.saves.clear();
     }
 
-    /// Drops log entries that the state machine covers, keeping `keep` for slow followers.
+    /// Drops log entries that the state machine covers, but keeps `keep` of them for slow
+    /// followers.
     pub fn compact(&mut self, keep: u64) {
         let index = self.commit.saturating_sub(keep);
         if index <= self.log.base() {
@@ -367,7 +378,8 @@
         self.log.iter().rev().find_map(change).unwrap_or_else(|| self.base_voters.clone())
     }
 
-    /// Sends the state machine as of the commit index to a follower that is too far behind.
+    /// Sends a snapshot of the state machine at the commit index to a follower that is too far
+    /// behind.
     pub fn send_snapshot(&mut self, to: &name::Member, state: bytes::Bytes, now: u64) {
         let (term, index) = (self.term, self.commit);
         let index_term = self.log.term(index).unwrap_or_default();
@@ -375,33 +387,37 @@
         if let Role::Leader(lead) = &mut self.role
             && let Some(progress) = lead.peers.get_mut(to)
         {
-            progress.snapshot = now;
-            progress.next = index + 1;
+            progress.snapshot_at = now;
+            progress.next_index = index + 1;
             let body = Message::Snapshot { term, index, index_term, voters, state, sent: now };
             self.out.sends.push((to.clone(), body));
         }
     }
 
-    /// Gives up leadership in favour of the follower that is furthest ahead among those that
-    /// `fits` holds for, by name and last matching index.
-    pub fn hand_over(&mut self, fits: impl Fn(&name::Name, u64) -> bool, now: u64) {
+    /// Transfers leadership to the follower with the highest matching index among the voters that
+    /// replied within an election timeout and that `is_eligible` accepts, by name and last matching
+    /// index.
+    pub fn transfer_leadership(
+        &mut self,
+        is_eligible: impl Fn(&name::Name, u64) -> bool,
+        now: u64,
+    ) {
         let Role::Leader(lead) = &self.role else {
             return;
         };
-        let fresh = |p: &Progress| now < p.heard + self.timing.election;
-        let fit = lead
-            .peers
-            .iter()
-            .filter(|(m, p)| self.voters.holds(m) && fresh(p) && fits(&m.name, p.matched));
-        let best = fit.max_by_key(|(_, p)| p.matched).map(|(m, _)| m.clone());
-        if let Some(heir) = best {
+        let is_recent = |p: &Progress| now < p.last_contact + self.timing.election;
+        let eligible = lead.peers.iter().filter(|(m, p)| {
+            self.voters.contains(m) && is_recent(p) && is_eligible(&m.name, p.match_index)
+        });
+        let best = eligible.max_by_key(|(_, p)| p.match_index).map(|(m, _)| m.clone());
+        if let Some(target) = best {
             let term = self.term;
-            self.follow(None, now);
-            self.out.sends.push((heir, Message::Stand { term }));
+            self.become_follower(None, now);
+            self.out.sends.push((target, Message::Stand { term }));
         }
     }
 
-    /// Takes a message of `from`.
+    /// Handles a message from `from`.
     pub fn step(&mut self, from: &name::Member, body: Message, now: u64) {
         if body.term() > MAX_TERM {
             return;
@@ -413,7 +429,7 @@
             Message::Voted { term, granted, pre } => self.on_voted(from, term, granted, pre, now),
             Message::Append { term, prev, prev_term, commit, entries, sent, echo } => {
                 if self.accept_leader(from, term, sent, now) {
-                    self.echo = self.echo.max(echo.min(now));
+                    self.lease_start = self.lease_start.max(echo.min(now));
                     self.on_append(from, (prev, prev_term), commit, entries, sent, now);
                 }
             }
@@ -430,8 +446,8 @@
                 }
             }
             Message::Stand { term } => {
-                if term == self.term && self.voters.holds(&self.me) {
-                    self.heard = 0;
+                if term == self.term && self.voters.contains(&self.me) {
+                    self.leader_contact = 0;
                     self.campaign(false, now);
                 }
             }
@@ -439,7 +455,7 @@
     }
 }
 
-/// Whether a message may leave before what was saved with it is on disk.
-pub fn is_free(body: &message::Raft) -> bool {
+/// Whether a message may be sent before the changes that were saved with it are on disk.
+pub fn can_precede_sync(body: &message::Raft) -> bool {
     !matches!(body, Message::Vote { pre: false, .. } | Message::Voted { pre: false, .. })
 }
--- a/crates/coord/src/replicate.rs
+++ b/crates/coord/src/replicate.rs
@@ -1,5 +1,5 @@
-//! Replication: entries, acknowledgements, snapshots, and how far the log is committed (Ongaro
-//! 2014, sections 3.5, 3.6 and 5).
+//! Replication: log entries, acknowledgements, snapshots and the commit index (Ongaro 2014,
+//! sections 3.5, 3.6 and 5).
 
 use state::name;
 
@@ -7,11 +7,12 @@
     entry::{Entry, Load, Voters},
     log,
     message::Raft as Message,
-    raft::{Lead, MAX_BATCH, Progress, Raft, Role, SNAPSHOT_PAUSE, Save},
+    raft::{LeaderState, MAX_BATCH, Progress, Raft, Role, SNAPSHOT_INTERVAL, Save},
 };
 
 impl Raft {
-    /// Whether a message of `from` as leader of `term` counts.
+    /// Whether this member accepts a message from `from` as the leader of `term`. If it does, it
+    /// follows that leader.
     pub(crate) fn accept_leader(
         &mut self,
         from: &name::Member,
@@ -27,10 +28,10 @@
             self.enter_term(term, now);
         }
         if self.leader.as_ref() != Some(from) {
-            self.echo = 0;
+            self.lease_start = 0;
         }
-        self.follow(Some(from.clone()), now);
-        self.heard = now;
+        self.become_follower(Some(from.clone()), now);
+        self.leader_contact = now;
         true
     }
 
@@ -52,7 +53,7 @@
         let last = index + entries.len() as u64;
         let mut changed = false;
         for entry in entries {
-            changed |= self.store(entry);
+            changed |= self.store_entry(entry);
         }
         if changed {
             self.refresh_voters();
@@ -61,8 +62,8 @@
         self.acknowledge(from, last, sent, now);
     }
 
-    /// Takes one entry of the leader; false if it was there already.
-    pub(crate) fn store(&mut self, entry: Entry) -> bool {
+    /// Stores one entry from the leader; returns false if the log holds the entry already.
+    pub(crate) fn store_entry(&mut self, entry: Entry) -> bool {
         if entry.index <= self.commit || self.log.term(entry.index) == Some(entry.term) {
             return false;
         }
@@ -128,20 +129,21 @@
         let Some(progress) = lead.peers.get_mut(from) else {
             return;
         };
-        // Nobody holds more than the leader, nor has answered what is not sent yet.
+        // A follower never holds more entries than the leader, and never acknowledges a message
+        // that the leader has not sent yet.
         let (index, (sent, stamp)) = (index.min(last), clocks);
         let sent = sent.min(now);
-        progress.heard = now;
-        progress.acked = progress.acked.max(sent);
-        progress.stamp = progress.stamp.max(stamp);
+        progress.last_contact = now;
+        progress.acked_at = progress.acked_at.max(sent);
+        progress.follower_clock = progress.follower_clock.max(stamp);
         if !success {
-            progress.next = (index + 1).min(last + 1).max(1);
+            progress.next_index = (index + 1).min(last + 1).max(1);
             return self.send_append(&from.clone(), now);
         }
-        progress.matched = progress.matched.max(index);
-        progress.next = progress.next.max(index + 1);
-        let more = progress.next <= last;
-        self.advance(now);
+        progress.match_index = progress.match_index.max(index);
+        progress.next_index = progress.next_index.max(index + 1);
+        let more = progress.next_index <= last;
+        self.advance_commit(now);
         if more {
             self.send_append(&from.clone(), now);
         }
@@ -155,24 +157,25 @@
         self.log.push(entry);
         if is_change {
             self.refresh_voters();
-            self.enroll(now);
+            self.update_peers(now);
         }
         self.broadcast(now);
-        self.advance(now);
+        self.advance_commit(now);
         index
     }
 
-    /// Replicates to every voter and no longer to seats that were taken over.
-    pub(crate) fn enroll(&mut self, now: u64) {
-        let next = self.log.last();
-        let (others, voters) = (self.others(), self.voters.clone());
+    /// Starts to replicate to every voter, and stops replicating to members whose seat another
+    /// incarnation has taken over.
+    pub(crate) fn update_peers(&mut self, now: u64) {
+        let next_index = self.log.last();
+        let (others, voters) = (self.other_voters(), self.voters.clone());
         let Role::Leader(lead) = &mut self.role else {
             return;
         };
-        let taken = |m: &name::Member| voters.seat(&m.name).is_some_and(|seat| seat != m);
-        lead.peers.retain(|member, _| !taken(member));
+        let is_replaced = |m: &name::Member| voters.seat(&m.name).is_some_and(|seat| seat != m);
+        lead.peers.retain(|member, _| !is_replaced(member));
         for member in others {
-            let fresh = Progress { next, heard: now, ..Progress::default() };
+            let fresh = Progress { next_index, last_contact: now, ..Progress::default() };
             lead.peers.entry(member).or_insert(fresh);
         }
     }
@@ -181,7 +184,7 @@
         let Role::Leader(lead) = &mut self.role else {
             return;
         };
-        lead.beat = now + self.timing.heartbeat;
+        lead.next_heartbeat = now + self.timing.heartbeat;
         let peers: Vec<_> = lead.peers.keys().cloned().collect();
         for peer in &peers {
             self.send_append(peer, now);
@@ -189,67 +192,68 @@
     }
 
     pub(crate) fn send_append(&mut self, to: &name::Member, now: u64) {
-        let leased = self.lease(now) > now;
+        let has_lease = self.lease(now) > now;
         let Role::Leader(lead) = &mut self.role else {
             return;
         };
         let Some(progress) = lead.peers.get_mut(to) else {
             return;
         };
-        let prev = progress.next - 1;
+        let prev = progress.next_index - 1;
         let Some(prev_term) = self.log.term(prev) else {
-            if progress.snapshot == 0 || now >= progress.snapshot + SNAPSHOT_PAUSE {
+            if progress.snapshot_at == 0 || now >= progress.snapshot_at + SNAPSHOT_INTERVAL {
                 self.out.behind.push(to.clone());
             }
             return;
         };
         let entries = self.log.slice(prev + 1, MAX_BATCH);
-        progress.next = prev + 1 + entries.len() as u64;
-        let echo = if leased { progress.stamp } else { 0 };
+        progress.next_index = prev + 1 + entries.len() as u64;
+        let echo = if has_lease { progress.follower_clock } else { 0 };
         let (term, commit) = (self.term, self.commit);
         let body = Message::Append { term, prev, prev_term, commit, entries, sent: now, echo };
         self.out.sends.push((to.clone(), body));
     }
 
-    /// The latest time, on the leader's clock, at which a quorum is known to have followed it.
-    pub(crate) fn quorum_ack(&self, lead: &Lead, now: u64) -> u64 {
-        let acked = |m: &name::Member| {
-            if *m == self.me { now } else { lead.peers.get(m).map_or(0, |p| p.acked) }
+    /// Latest time, on the leader's clock, at which a quorum is known to have followed the leader.
+    pub(crate) fn quorum_ack(&self, lead: &LeaderState, now: u64) -> u64 {
+        let acked_at = |m: &name::Member| {
+            if *m == self.me { now } else { lead.peers.get(m).map_or(0, |p| p.acked_at) }
         };
-        self.quorum_of(acked)
+        self.quorum_value(acked_at)
     }
 
-    /// The greatest value that a quorum of voters has reached.
-    pub(crate) fn quorum_of(&self, value: impl Fn(&name::Member) -> u64) -> u64 {
+    /// Highest value that a quorum of voters has reached.
+    pub(crate) fn quorum_value(&self, value: impl Fn(&name::Member) -> u64) -> u64 {
         let mut values: smallvec::SmallVec<[u64; 5]> = self.voters.0.iter().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.get(self.voters.quorum() - 1).copied().unwrap_or(0)
     }
 
-    pub(crate) fn advance(&mut self, now: u64) {
+    pub(crate) fn advance_commit(&mut self, now: u64) {
         let Role::Leader(lead) = &self.role else {
             return;
         };
-        let mine = if self.durable { self.synced } else { self.log.last() };
-        let matched = |m: &name::Member| {
-            if *m == self.me { mine } else { lead.peers.get(m).map_or(0, |p| p.matched) }
+        let own_index = if self.durable { self.synced } else { self.log.last() };
+        let match_index = |m: &name::Member| {
+            if *m == self.me { own_index } else { lead.peers.get(m).map_or(0, |p| p.match_index) }
         };
-        let index = self.quorum_of(matched);
-        // Only entries of the present term commit by counting (Ongaro 2014, section 3.6.2).
+        let index = self.quorum_value(match_index);
+        // A leader commits only entries of the current term by counting replicas (Ongaro 2014,
+        // section 3.6.2).
         if index <= self.commit || self.log.term(index) != Some(self.term) {
             return;
         }
         self.commit_to(index);
         if self.durable {
-            // Settings change rarely, and are to be in force everywhere at once.
+            // Settings change rarely and must take effect on all members immediately.
             return self.broadcast(now);
         }
         let Role::Leader(lead) = &mut self.role else {
             return;
         };
-        let eager: Vec<_> = lead.eager.keys().cloned().collect();
-        lead.eager.retain(|_, wanted| *wanted > index);
-        for member in eager {
+        let waiters: Vec<_> = lead.commit_waiters.keys().cloned().collect();
+        lead.commit_waiters.retain(|_, awaited| *awaited > index);
+        for member in waiters {
             self.send_append(&member, now);
         }
     }
