--- a/crates/dispatch/src/active.rs
+++ b/crates/dispatch/src/active.rs
@@ -1,76 +1,76 @@
-//! A job that a scheduler works on: which tasks wait, run and are done.
+//! Active job of a scheduler: which of its tasks wait, run or are done.
 
 use state::name;
 
 use crate::{job, message, share, time, timing};
 
-/// How a task stands.
+/// State of a task at one scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It waits for room, or for an earlier step.
+    /// The task waits for room, or for an earlier step.
     Waiting,
-    /// It may run on this upstream.
+    /// The task may be running on this upstream.
     Placed(name::Name),
-    /// It has done its work.
+    /// The task is done.
     Done,
-    /// Another scheduler has it.
+    /// The task is not with this scheduler.
     Away,
 }
 
-/// Which of the tasks that wait are given back.
+/// Selects the waiting tasks that the scheduler gives back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Return {
-    /// Those that were never started.
+    /// Waiting tasks that were never started.
     Unstarted,
-    /// All of them.
+    /// All waiting tasks.
     Waiting,
 }
 
-/// One task.
+/// A task and its runs.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// How it stands.
+    /// State of the task.
     pub phase: Phase,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub failures: u32,
     /// Number of the last run.
     pub attempt: u32,
 }
 
-/// A job under way.
+/// A job that a scheduler works on.
 #[derive(Debug)]
 pub struct Active {
     /// The job.
     pub job: job::Job,
-    /// Instance whose client waits.
+    /// Instance whose client waits for the answer.
     pub entry: name::Name,
-    /// When it arrived at the first instance, on this instance's clock.
+    /// Arrival at the first instance, on this instance's clock.
     pub arrived: u64,
-    /// When the entry was last known to wait for it.
+    /// Last time at which the entry was known to wait for the job.
     pub awaited: u64,
-    /// The entry's clock when it last said that it waits.
+    /// The entry's clock when it last reported that it waits for the job.
     pub stamp: u64,
-    /// When nothing that former schedulers started can run any more, whatever is not known of them.
+    /// Time from which no run that former schedulers started can be left, even an unknown one.
     pub over: u64,
-    /// Digests of former schedulers' upstreams of which not all are known here.
+    /// Digests of former schedulers' sets of upstreams that are not fully known here.
     pub uncovered: smallvec::SmallVec<[u64; 2]>,
-    /// Whether a task of it may have been started, here or elsewhere.
+    /// Whether a task of the job may have been started, here or elsewhere.
     pub started: bool,
-    /// Number of its last hand-over.
+    /// Number of the last hand-over of the job.
     pub number: u64,
-    /// The tasks that were handed over with it.
+    /// Tasks that were part of that hand-over.
     pub share: share::Share,
-    /// Whether what cannot start at once is given back.
+    /// Whether the scheduler gives back tasks that cannot start at once.
     pub offer: bool,
-    /// Where the time of the task went that did its work last.
+    /// Breakdown of the time of the task that completed last.
     pub last: Option<timing::Breakdown>,
-    /// Its tasks, step by step.
+    /// Tasks of the job by step.
     pub items: Vec<Vec<Item>>,
     waiting: u32,
 }
 
 impl Active {
-    /// A job that has just come from `entry`, whose clock it is stamped by.
+    /// Creates the state of a job that has just arrived from `entry`, whose clock stamped it.
     pub fn new(job: job::Job, entry: &name::Name, handover: &message::Handover, now: u64) -> Self {
         let item = Item { phase: Phase::Away, failures: 0, attempt: 0 };
         let items: Vec<_> =
@@ -97,7 +97,7 @@
         active
     }
 
-    /// Takes the tasks that are handed over; those that are here already go on as they do.
+    /// Adds the tasks of a hand-over; tasks that this scheduler has already keep their state.
     pub fn take(&mut self, handover: &message::Handover) {
         self.number = handover.number;
         self.share = handover.share.clone();
@@ -113,12 +113,12 @@
         }
     }
 
-    /// Gives back tasks that wait; gives their numbers.
+    /// Gives back waiting tasks and returns their numbers.
     pub fn give_back(&mut self, which: Return) -> share::Tasks {
         let mut tasks = share::Tasks::new();
         for (item, index) in self.items.iter_mut().flatten().zip(0..) {
-            let is_meant = which == Return::Waiting || item.attempt == 0;
-            if item.phase == Phase::Waiting && is_meant {
+            let selected = which == Return::Waiting || item.attempt == 0;
+            if item.phase == Phase::Waiting && selected {
                 item.phase = Phase::Away;
                 tasks.push(index);
             }
@@ -127,32 +127,32 @@
         tasks
     }
 
-    /// Whether what waits may be given back: the tasks of one step, or a job of several that has not
-    /// begun.
+    /// Whether the waiting tasks may be given back: this holds for a job of one step, and for a job
+    /// of several steps of which no task has started.
     pub fn is_movable(&self) -> bool {
         let is_unstarted = |item: &Item| item.phase == Phase::Waiting && item.attempt == 0;
         self.job.is_divisible() || self.items.iter().flatten().all(is_unstarted)
     }
 
-    /// Whether one of its tasks may be running.
+    /// Whether a task of the job may be running.
     pub fn is_running(&self) -> bool {
         self.items.iter().flatten().any(|item| matches!(item.phase, Phase::Placed(_)))
     }
 
-    /// Whether one of these tasks of its first step was started.
+    /// Whether one of these tasks, numbered through all steps, was started.
     pub fn has_run(&self, tasks: &[u32]) -> bool {
         let items = self.items.iter().flatten().zip(0..);
         items.into_iter().any(|(item, index)| item.attempt > 0 && tasks.contains(&index))
     }
 
-    /// Whether a run that another scheduler started may go on, at an upstream that has not answered
-    /// yet (`unread`) or that is not known here.
+    /// Whether a run that another scheduler started may still be in progress, at an upstream that
+    /// has not answered yet (`unread`) or that is not known here.
     pub fn is_blocked(&self, unread: bool, now: u64) -> bool {
         let unsure = unread || !self.uncovered.is_empty();
         self.job.resumed && unsure && now < self.over
     }
 
-    /// Notes tasks that have done their work before.
+    /// Marks waiting tasks that were completed earlier as done.
     pub fn set_done(&mut self, share: &share::Share) {
         for (item, index) in self.items.iter_mut().flatten().zip(0..) {
             if item.phase == Phase::Waiting && share.has(index) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Tasks of the last hand-over that were given back since.
+    /// Tasks of the last hand-over that the scheduler has given back since.
     pub fn given_back(&self) -> share::Tasks {
         let items = self.items.iter().flatten().zip(0..);
         let away =
@@ -170,7 +170,7 @@
         away.map(|(_, index)| index).collect()
     }
 
-    /// The tasks that it has.
+    /// Tasks that this scheduler has.
     pub fn held(&self) -> share::Share {
         let away = self.given_back();
         let mut held = self.share.clone();
@@ -180,12 +180,12 @@
         held
     }
 
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub fn waiting(&self) -> u32 {
         self.waiting
     }
 
-    /// Cores that the waiting tasks need, thousandths: as many as those of its widest step.
+    /// Cores that the waiting tasks need, thousandths; each task counts as one of the widest step.
     pub(crate) fn waiting_cpu(&self) -> i64 {
         if self.waiting() == 0 {
             return 0;
@@ -193,13 +193,13 @@
         self.job.widest() as i64 * i64::from(self.waiting())
     }
 
-    /// Whether all tasks are done.
+    /// Whether all tasks of this scheduler are done.
     pub fn is_complete(&self) -> bool {
         let is_over = |item: &Item| matches!(item.phase, Phase::Done | Phase::Away);
         self.items.iter().flatten().all(is_over)
     }
 
-    /// Whether a step's tasks may start.
+    /// Whether the tasks of a step may start: all steps before it are done.
     pub fn is_due(&self, step: usize) -> bool {
         let done = |before: &u32| {
             let items = self.items.get(*before as usize);
@@ -208,17 +208,17 @@
         self.job.steps[step].after.iter().all(done)
     }
 
-    /// Whether another scheduler has a task of it.
+    /// Whether a task is not with this scheduler.
     pub fn is_away(&self, task: &job::Task) -> bool {
         self.item(task).is_some_and(|item| item.phase == Phase::Away)
     }
 
-    /// A task of it.
+    /// Looks up a task.
     pub fn item(&self, task: &job::Task) -> Option<&Item> {
         self.items.get(task.step as usize)?.get(task.index as usize)
     }
 
-    /// Changes how a task stands; gives the former phase.
+    /// Changes the phase of a task and returns the former one.
     pub fn set(&mut self, task: &job::Task, phase: Phase) -> Option<Phase> {
         let item = self.items.get_mut(task.step as usize)?.get_mut(task.index as usize)?;
         let former = std::mem::replace(&mut item.phase, phase);
@@ -228,17 +228,17 @@
         Some(former)
     }
 
-    /// A task of it, to be changed.
+    /// Looks up a task for changes.
     pub fn item_mut(&mut self, task: &job::Task) -> Option<&mut Item> {
         self.items.get_mut(task.step as usize)?.get_mut(task.index as usize)
     }
 
-    /// When the objective ends.
+    /// End of the objective.
     pub fn due(&self) -> u64 {
         self.arrived + self.job.objective * time::MS
     }
 
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub fn end(&self) -> u64 {
         self.arrived + self.job.patience * time::MS
     }
--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -1,4 +1,4 @@
-//! Jobs that entries hand to a scheduler, ask for and take back.
+//! Jobs that entries hand over to a scheduler, ask about and cancel.
 
 use state::name;
 
@@ -13,18 +13,18 @@
     time, upstream,
 };
 
-/// A new scheduler refuses nothing for want of room until its upstreams have answered, or this
-/// time has passed, microseconds: an upstream that answers at all does so within a few orders'
-/// patience (50 ms).
-const SURVEY: u64 = 300 * time::MS;
+/// A new scheduler refuses no job for lack of room until its upstreams have answered, or this time
+/// has passed, microseconds: an upstream that answers at all does so within the timeout of a few
+/// orders (50 ms each).
+const SURVEY_TIMEOUT: u64 = 300 * time::MS;
 
 impl Sched {
-    /// Takes a job from an entry that knows nothing of other schedulers' upstreams.
+    /// Accepts a job from an entry that knows nothing about the upstreams of other schedulers.
     pub fn submit(&mut self, job: Job, entry: &name::Name, now: u64) {
         self.hand_over(job, entry, message::Handover::default(), now);
     }
 
-    /// Ends a job as failed that comes again after it was given up.
+    /// Fails a job that an entry submits again after a scheduler gave it up.
     pub fn refuse_given_up(
         &mut self,
         id: &name::Name,
@@ -32,13 +32,13 @@
         handover: message::Handover,
         now: u64,
     ) {
-        self.note("job: Refused, it brings upstreams down.", id, "");
+        self.note("job: Refused, its tasks crash upstreams.", id, "");
         let (number, share) = (handover.number, handover.share);
         self.rule(entry, id, Ruling { number, share, verdict: Verdict::Failed }, now);
     }
 
-    /// Takes a job, or some of its tasks, from an entry, with what it knows of schedulers that had
-    /// them before.
+    /// Accepts a job, or some of its tasks, from an entry, together with what the entry knows about
+    /// the schedulers that had these tasks before.
     pub fn hand_over(
         &mut self,
         job: Job,
@@ -58,7 +58,7 @@
             self.offers.insert(id.clone());
         }
         let former = self.verdicts.remove(&id).map(|(ruling, _)| ruling);
-        if let Some(ruling) = former.as_ref().filter(|ruling| stands(ruling, &job, &handover)) {
+        if let Some(ruling) = former.as_ref().filter(|ruling| is_answer(ruling, &job, &handover)) {
             let ruling = Ruling { number: handover.number, ..ruling.clone() };
             return self.rule(entry, &id, ruling, now);
         }
@@ -66,7 +66,7 @@
             active.entry = entry.clone();
             active.awaited = now;
             active.stamp = job.stamp;
-            // It was another scheduler's meanwhile.
+            // Another scheduler may have had the job in the meantime.
             active.job.resumed |= job.resumed;
             active.over = active.over.max(over);
             active.take(&handover);
@@ -94,14 +94,14 @@
         self.dirty = true;
     }
 
-    /// Why a job is refused at once, if it is.
+    /// Reason to refuse a job on arrival, if there is one.
     pub(crate) fn check(
         &self,
         job: &Job,
         handover: &message::Handover,
         now: u64,
     ) -> Option<Refusal> {
-        // What is offered and has no room goes back; another zone may have some.
+        // Offered tasks without room go back to the entry, since another zone may have room.
         if job.resumed || handover.begun || handover.offer {
             return None;
         }
@@ -119,41 +119,44 @@
         if !self.policy.refuse_overload {
             return None;
         }
-        if now < self.since + SURVEY && self.sessions.values().any(|session| !session.is_read()) {
+        if now < self.since + SURVEY_TIMEOUT
+            && self.sessions.values().any(|session| !session.is_read())
+        {
             return None;
         }
-        let line = self.jobs.values().map(|active| (active.due(), active.waiting_cpu()));
-        queue::refuse(job, line, self.load(now), now).map(Refusal::Overload)
+        let queued = self.jobs.values().map(|active| (active.due(), active.waiting_cpu()));
+        queue::refuse(job, queued, self.load(now), now).map(Refusal::Overload)
     }
 
-    /// Attaches runs and ends of a former scheduler to a job that was handed in again.
+    /// Attaches runs, and ends of runs, of a former scheduler to a job that was submitted again.
     pub(crate) fn adopt(&mut self, id: &name::Name, now: u64) {
         self.orphans.retain(|task, _| task.job != *id);
         let mut found = Vec::new();
         for (name, session) in &mut self.sessions {
             for (task, run) in session.runs.iter_mut().filter(|(task, _)| task.job == *id) {
-                // One that was told to stop already ends, and the task waits again then.
+                // A run that was already ordered to stop will end, and its task then waits again.
                 if run.unwanted == Some(0) {
                     run.unwanted = None;
                 }
                 found.push((name.clone(), task.clone(), run.attempt));
             }
         }
-        let mut spare = Vec::new();
+        let mut duplicates = Vec::new();
         if let Some(active) = self.jobs.get_mut(id) {
             for (session, task, attempt) in found {
                 let Some(item) = active.item_mut(&task) else { continue };
                 item.attempt = item.attempt.max(attempt);
-                // A start that was carried out late may have left two runs of one task; a task that is
-                // elsewhere now may have one left of a former submission.
+                // An upstream that carried out a start late may have left two runs of one task. A
+                // task that another scheduler has may still have a run here from an earlier
+                // submission.
                 if matches!(item.phase, Phase::Placed(_) | Phase::Away) {
-                    spare.push((session, task));
+                    duplicates.push((session, task));
                 } else {
                     active.set(&task, Phase::Placed(session));
                 }
             }
         }
-        for (session, task) in spare {
+        for (session, task) in duplicates {
             self.mark_unwanted(&session, &task);
         }
         let done = self.ends.iter().filter(|(task, (end, _))| task.job == *id && *end == End::Done);
@@ -168,21 +171,22 @@
         self.settle(id, now);
     }
 
-    /// Nobody waits for the job any more.
+    /// Drops a job that its entry no longer waits for.
     pub fn cancel(&mut self, id: &name::Name, entry: &name::Name) {
         if self.jobs.get(id).is_some_and(|active| active.entry == *entry) {
             self.drop_job(id);
         }
     }
 
-    /// Nobody is known to wait for anything any more.
+    /// Drops all jobs, since no entry is known to wait for any of them.
     pub fn drop_all(&mut self) {
         for id in self.jobs.keys().cloned().collect::<Vec<_>>() {
             self.drop_job(&id);
         }
     }
 
-    /// An entry has come back without its memory: nobody waits for its jobs any more.
+    /// Drops the jobs of an entry that has restarted without its state and no longer waits for
+    /// them.
     pub fn forget_entry(&mut self, entry: &name::Name) {
         self.known.remove(entry);
         let of_entry = self.jobs.iter().filter(|(_, active)| active.entry == *entry);
@@ -191,8 +195,9 @@
         }
     }
 
-    /// An entry still waits for these hand-overs of jobs; gives those that are not known here. Where it
-    /// counts more tasks here than there are, the message that gave them back was lost.
+    /// Records that an entry still waits for these hand-overs of jobs, and returns those that this
+    /// scheduler does not know. If the entry counts more tasks here than the scheduler has, the
+    /// message that gave them back was lost, and the scheduler gives them back again.
     pub fn awaited(
         &mut self,
         handovers: &[message::Awaited],
@@ -227,9 +232,9 @@
     }
 }
 
-/// Whether what was said of a job before is the answer to this hand-over of it: what was not run here
-/// may have been started by another scheduler since.
-fn stands(ruling: &Ruling, job: &Job, handover: &message::Handover) -> bool {
+/// Whether an earlier ruling on a job also answers this hand-over. A ruling that nothing was run
+/// does not, because another scheduler may have started tasks of the job since.
+fn is_answer(ruling: &Ruling, job: &Job, handover: &message::Handover) -> bool {
     match ruling.verdict {
         Verdict::Complete => ruling.share.covers(&handover.share),
         Verdict::Failed => true,
--- a/crates/dispatch/src/assignment.rs
+++ b/crates/dispatch/src/assignment.rs
@@ -1,53 +1,56 @@
-//! Tasks of a job that are with one scheduler, or wait for one, as their entry sees them.
+//! Tasks of a job that are assigned to one scheduler, or wait for one, as their entry tracks them.
 
 use state::name;
 
 use crate::{claim, share, time, view::View};
 
-/// So many former schedulers' sets of upstreams are told; with more, [`UNKNOWN`] stands for them.
-const FORMER_SETS: usize = 4;
-/// A digest of no set: the next scheduler waits until nothing of the former ones can run.
-const UNKNOWN: u64 = u64::MAX;
+/// Largest number of former schedulers' sets of upstreams in a hand-over; a single [`UNKNOWN_SET`]
+/// replaces more of them.
+const MAX_FORMER_SETS: usize = 4;
+/// A digest that matches no set: the next scheduler waits until no run of the former ones can be
+/// left.
+const UNKNOWN_SET: u64 = u64::MAX;
 
-/// Tasks of a job that are with one scheduler at a time.
+/// Tasks of a job that one scheduler has at a time.
 #[derive(Debug)]
 pub(crate) struct Assignment {
-    /// Number of its last hand-over, or one that was never used: no other part has it.
+    /// Number of the last hand-over, or a number that was never used; it is unique among the parts
+    /// of the job.
     pub(crate) number: u64,
     pub(crate) share: share::Share,
     pub(crate) with: Option<claim::Claim>,
-    /// When the scheduler was last told that the entry waits.
+    /// Time of the last message to the scheduler that the entry waits.
     pub(crate) asked: u64,
-    /// Whether it was handed to a scheduler that may have started something of it.
+    /// Whether the tasks were handed over to a scheduler that may have started some of them.
     pub(crate) given: bool,
-    /// Whether another scheduler may have started tasks of it.
+    /// Whether another scheduler may have started some of the tasks.
     pub(crate) resumed: bool,
-    /// The scheduler does not know it.
+    /// Whether the scheduler does not know the hand-over.
     pub(crate) disowned: bool,
-    /// Digest of the upstreams that the scheduler told last.
+    /// Digest of the upstreams that the scheduler reported last.
     pub(crate) told: u64,
-    /// The same of those that had it before.
+    /// Digests that the schedulers which had the tasks before reported last.
     pub(crate) former: smallvec::SmallVec<[u64; 2]>,
-    /// Since when the scheduler is not heard.
+    /// Time since which the entry has not heard from the scheduler.
     pub(crate) lost: Option<u64>,
-    /// Zone where tasks of it may run; no other scheduler may have it.
+    /// Zone where some of the tasks may run; no scheduler of another zone may have them.
     pub(crate) pin: Option<name::Name>,
     /// Zones that had no room for these tasks.
     pub(crate) tried: smallvec::SmallVec<[name::Name; 4]>,
 }
 
-/// What time asks for.
+/// Action that is due for an assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Due {
     Nothing,
-    /// The scheduler is to be told that the entry waits.
+    /// The entry has to tell the scheduler that it waits.
     Ask,
-    /// It is to be handed over.
+    /// The entry has to hand the tasks over.
     Give,
 }
 
 impl Assignment {
-    /// Tasks that no scheduler has.
+    /// Creates an assignment of tasks that no scheduler has.
     pub(crate) fn new(number: u64, share: share::Share, now: u64) -> Self {
         Self {
             number,
@@ -65,62 +68,63 @@
         }
     }
 
-    /// Whether this scheduler has it.
+    /// Whether this scheduler has the tasks.
     pub(crate) fn is_with(&self, holder: &name::Name) -> bool {
         self.with.as_ref().is_some_and(|claim| claim.holder == *holder)
     }
 
-    /// Lets time pass. A scheduler is asked about it each `ask` microseconds, and `dropped` after it
-    /// was lost nothing of it runs there any more.
-    pub(crate) fn tick(&mut self, view: View<'_>, ask: u64, dropped: u64) -> Due {
+    /// Updates the assignment for the present time and returns the action that is due. The entry
+    /// asks the scheduler about the tasks every `interval` microseconds. When `expiry` microseconds
+    /// have passed since it lost the scheduler, no run of the tasks is left there.
+    pub(crate) fn tick(&mut self, view: View<'_>, interval: u64, expiry: u64) -> Due {
         let now = view.now;
         if let Some(told) = self.with.as_ref().and_then(|claim| view.told(claim)) {
             self.told = told;
         }
         if std::mem::take(&mut self.disowned) {
-            self.resume();
+            self.reclaim();
         }
-        if self.lost.is_some_and(|lost| now >= lost + dropped) {
-            self.resume();
+        if self.lost.is_some_and(|lost| now >= lost + expiry) {
+            self.reclaim();
             self.pin = None;
         }
         let Some(claim) = &self.with else { return Due::Give };
         if view.is_current(claim) {
             self.lost = None;
-            let due = now >= self.asked + ask;
+            let due = now >= self.asked + interval;
             self.asked = if due { now } else { self.asked };
             return if due { Due::Ask } else { Due::Nothing };
         }
         self.lost.get_or_insert(now);
         let next = view.claims.of(&claim.zone);
         if next.is_some_and(|next| next != claim && view.membership.holds(next, now)) {
-            self.resume();
+            self.reclaim();
             return Due::Give;
         }
         Due::Nothing
     }
 
-    /// Takes the tasks back from their scheduler; some may run on.
-    fn resume(&mut self) {
+    /// Takes the tasks back from their scheduler; some runs may still be in progress.
+    fn reclaim(&mut self) {
         self.resumed = true;
         if self.with.take().is_some() {
             self.add_former(self.told);
         }
     }
 
-    /// Notes the set of upstreams of a scheduler that had some of it before.
+    /// Records the set of upstreams of a scheduler that had some of the tasks before.
     fn add_former(&mut self, set: u64) {
         if self.former.contains(&set) {
             return;
         }
-        if self.former.len() < FORMER_SETS {
+        if self.former.len() < MAX_FORMER_SETS {
             self.former.push(set);
         } else {
-            self.former = smallvec::smallvec![UNKNOWN];
+            self.former = smallvec::smallvec![UNKNOWN_SET];
         }
     }
 
-    /// Notes that its scheduler gave all of it back: nothing of it runs there.
+    /// Records that the scheduler gave all tasks back and that none of them runs there.
     pub(crate) fn returned(&mut self) {
         if let Some(claim) = self.with.take() {
             self.tried.push(claim.zone);
@@ -129,14 +133,14 @@
         self.given = self.resumed;
     }
 
-    /// The tasks of another part that its scheduler gave back.
+    /// Creates a separate assignment for tasks of this one that their scheduler gave back.
     pub(crate) fn split(&self, number: u64, tasks: share::Tasks, now: u64) -> Self {
         let mut tried = self.tried.clone();
         tried.extend(self.with.as_ref().map(|claim| claim.zone.clone()));
         Self { tried, ..Self::new(number, share::Share::new(tasks), now) }
     }
 
-    /// Takes in the tasks of a part that goes to the same scheduler.
+    /// Merges the tasks of an assignment that goes to the same scheduler.
     pub(crate) fn join(&mut self, other: Self) {
         self.share.add(&other.share);
         self.resumed |= other.resumed;
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Time since a scheduler that had it was last told that the entry waits, milliseconds.
+    /// Time since the last message to a scheduler of the tasks that the entry waits, milliseconds.
     pub(crate) fn parted(&self, now: u64) -> u64 {
         now.saturating_sub(self.asked) / time::MS
     }
--- a/crates/dispatch/src/call_timeout.rs
+++ b/crates/dispatch/src/call_timeout.rs
@@ -1,35 +1,36 @@
-//! How quickly upstreams answer lately, and how many calls they leave without an answer.
+//! Timeout of orders, derived from the recent answer times of upstreams, and the rate of lost
+//! calls.
 //!
-//! The load this answers: links or upstreams that lose one order in twenty. A job of eight tasks of 60 ms
-//! then has a lost start, or lost news of an end, nearly every second time, and its objective leaves 90
-//! ms for all of that.
+//! It handles links or upstreams that lose one order in twenty. Nearly every second job of eight
+//! tasks of 60 ms then loses a start, or the report of an end, and its objective leaves 90 ms to
+//! recover from all of that.
 
 use crate::time;
 
-/// Longest time for the answer to an order, milliseconds: twenty round trips between zones. Until it is
-/// over the upstream gets nothing else.
+/// Longest timeout of an order, milliseconds: twenty round trips between zones. Until it has
+/// passed, the scheduler sends the upstream no other order.
 pub(crate) const PATIENCE: u64 = 50;
-/// The shortest, milliseconds: timers and threads are late by some.
-const LEAST: u64 = 10;
-/// Answers may take this many times as long as the slowest one lately.
-const MARGIN: u64 = 2;
-/// What happened within the last one or two of these counts, microseconds.
-const SPAN: u64 = 1_000 * time::MS;
-/// Calls count as lost, and not some upstreams as gone, from so many on.
-const FEW: u32 = 4;
-/// They are many from one in so many on.
-const MANY: u32 = 50;
+/// Shortest timeout of an order, milliseconds: timers and threads run late by some milliseconds.
+const MIN_TIMEOUT: u64 = 10;
+/// The timeout is this many times as long as the slowest recent answer took.
+const TIMEOUT_FACTOR: u64 = 2;
+/// Length of a window, microseconds; answers and losses of the last one or two windows count.
+const WINDOW: u64 = 1_000 * time::MS;
+/// From this many lost calls on, calls count as lost; with fewer, some upstreams count as gone.
+const MIN_LOST: u32 = 4;
+/// Losses are frequent when at least one call in this many was lost.
+const CALLS_PER_LOSS: u32 = 50;
 
-/// Times and losses of the calls to all upstreams of a scheduler.
+/// Answer times and losses of the calls to all upstreams of a scheduler.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallTimeout {
-    /// This span and the one before.
-    spans: [Span; 2],
-    turned: u64,
+    /// The present window and the one before.
+    windows: [Window; 2],
+    started: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Span {
+struct Window {
     /// Slowest answer, microseconds.
     slowest: u64,
     answered: u32,
@@ -37,45 +38,49 @@
 }
 
 impl CallTimeout {
-    /// A call was answered after `took` microseconds; 0 where that tells nothing.
+    /// Records an answer after `took` microseconds; 0 if the time says nothing about the link.
     pub fn answered(&mut self, took: u64, now: u64) {
-        let span = self.span(now);
-        span.slowest = span.slowest.max(took);
-        span.answered += 1;
+        let window = self.window(now);
+        window.slowest = window.slowest.max(took);
+        window.answered += 1;
     }
 
-    /// A call was lost: the upstream answers the next one.
+    /// Records a lost call: the upstream answers the next one.
     pub fn lost(&mut self, now: u64) {
-        self.span(now).lost += 1;
+        self.window(now).lost += 1;
     }
 
-    /// An order that was given up had been carried out in time: its answer only was late.
+    /// Records that an order which timed out had been carried out in time, and only its answer was
+    /// late.
     pub fn late(&mut self, now: u64) {
-        let span = self.span(now);
-        span.slowest = span.slowest.max(PATIENCE * time::MS);
+        let window = self.window(now);
+        window.slowest = window.slowest.max(PATIENCE * time::MS);
     }
 
-    /// Time for the answer to an order, milliseconds.
+    /// Present timeout of an order, milliseconds.
     pub fn patience(&self) -> u64 {
-        match self.spans.iter().map(|span| span.slowest).max() {
+        match self.windows.iter().map(|window| window.slowest).max() {
             None | Some(0) => PATIENCE,
-            Some(slowest) => (slowest * MARGIN).div_ceil(time::MS).clamp(LEAST, PATIENCE),
+            Some(slowest) => {
+                (slowest * TIMEOUT_FACTOR).div_ceil(time::MS).clamp(MIN_TIMEOUT, PATIENCE)
+            }
         }
     }
 
-    /// Whether many calls were lost lately.
+    /// Whether losses have been frequent recently.
     pub fn is_lossy(&self) -> bool {
-        let answered: u32 = self.spans.iter().map(|span| span.answered).sum();
-        let lost: u32 = self.spans.iter().map(|span| span.lost).sum();
-        lost >= FEW && lost.saturating_mul(MANY) >= answered
+        let answered: u32 = self.windows.iter().map(|window| window.answered).sum();
+        let lost: u32 = self.windows.iter().map(|window| window.lost).sum();
+        lost >= MIN_LOST && lost.saturating_mul(CALLS_PER_LOSS) >= answered
     }
 
-    fn span(&mut self, now: u64) -> &mut Span {
-        if now >= self.turned + SPAN {
-            let former = if now < self.turned + 2 * SPAN { self.spans[0] } else { Span::default() };
-            self.spans = [Span::default(), former];
-            self.turned = now;
+    fn window(&mut self, now: u64) -> &mut Window {
+        if now >= self.started + WINDOW {
+            let former =
+                if now < self.started + 2 * WINDOW { self.windows[0] } else { Window::default() };
+            self.windows = [Window::default(), former];
+            self.started = now;
         }
-        &mut self.spans[0]
+        &mut self.windows[0]
     }
 }
--- a/crates/dispatch/src/capacity_limit.rs
+++ b/crates/dispatch/src/capacity_limit.rs
@@ -1,44 +1,45 @@
-//! What an upstream is believed to hold after it refused a task that should fit.
+//! Estimated capacity of an upstream after it refused a task that should fit.
 //!
-//! The load this answers: an upstream whose room has shrunk before it told so, or that runs something
-//! unknown. It looks as if it had room, and the tightest fit besides, so that it would be asked again
-//! each 30 ms until its next announcement, with a refusal each time (`room::refused_again_and_again`:
-//! 6 in a second, 33 without this).
+//! It handles an upstream whose room has shrunk before it announced the change, or that runs an
+//! unknown task. The upstream seems to have room, and to be the tightest fit as well, so that the
+//! scheduler would try to start a task there every 30 ms until its next announcement, with a
+//! refusal each time (`room::refused_again_and_again`: 6 refusals in a second with the estimate, 33
+//! without).
 
 use crate::time;
 
-/// First time for which a refusal is believed, microseconds: a task that was unknown may end.
-const FIRST: u64 = 30 * time::MS;
-/// It doubles with each further refusal so many times at most, to 960 ms: upstreams announce
-/// themselves each second or two.
-const DOUBLINGS: u32 = 5;
+/// Time for which the first refusal limits the capacity, microseconds: the unknown task may end.
+const INITIAL_PERIOD: u64 = 30 * time::MS;
+/// That time doubles with each further refusal, at most this many times, to 960 ms: upstreams
+/// announce themselves every second or two.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// Cores at which an upstream refused a task lately.
+/// Number of cores at which an upstream recently refused a task.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CapacityLimit {
-    /// All that runs there takes less than this, thousandths of a core.
-    refused: u64,
+    /// All runs there together take less than this, thousandths of a core.
+    refused_cpu: u64,
     until: u64,
-    times: u32,
+    doublings: u32,
 }
 
 impl CapacityLimit {
-    /// A task was refused that would have made the upstream hold `cpu`.
+    /// Records the refusal of a task with which the runs there would have taken `cpu`.
     pub fn refused(&mut self, cpu: u64, now: u64) {
-        self.refused = cpu;
-        self.until = now + (FIRST << self.times);
-        self.times = (self.times + 1).min(DOUBLINGS);
+        self.refused_cpu = cpu;
+        self.until = now + (INITIAL_PERIOD << self.doublings);
+        self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
     }
 
-    /// A task was taken that makes the upstream hold `cpu`.
+    /// Records the start of a task with which the runs there take `cpu`.
     pub fn taken(&mut self, cpu: u64) {
-        if cpu >= self.refused {
+        if cpu >= self.refused_cpu {
             *self = Self::default();
         }
     }
 
-    /// The most that it holds as far as is known, if it says `cpu`.
+    /// Estimated capacity of an upstream that announces `cpu`.
     pub fn limit(&self, cpu: u64, now: u64) -> u64 {
-        if now < self.until { cpu.min(self.refused.saturating_sub(1)) } else { cpu }
+        if now < self.until { cpu.min(self.refused_cpu.saturating_sub(1)) } else { cpu }
     }
 }
--- a/crates/dispatch/src/handback.rs
+++ b/crates/dispatch/src/handback.rs
@@ -1,5 +1,5 @@
-//! Tasks that a scheduler gives back to their entries: what was offered and has no room, and what
-//! waits while the zone is evacuated.
+//! Tasks that a scheduler gives back to their entries: offered tasks without room, and waiting
+//! tasks of an evacuated zone.
 
 use state::name;
 
@@ -12,13 +12,13 @@
 };
 
 impl Sched {
-    /// Lets tasks be started, or nothing more while the zone is evacuated.
+    /// Sets whether the zone is evacuated; while it is, the scheduler starts no tasks.
     pub fn set_evacuated(&mut self, evacuated: bool) {
         self.dirty |= self.evacuated != evacuated;
         self.evacuated = evacuated;
     }
 
-    /// Gives back what is offered and could not start.
+    /// Gives back the offered tasks that could not start.
     pub(crate) fn return_offers(&mut self, now: u64) {
         for id in std::mem::take(&mut self.offers) {
             let Some(active) = self.jobs.get_mut(&id) else { continue };
@@ -30,13 +30,14 @@
         }
     }
 
-    /// Gives back what waits, so that other zones run it. What a former scheduler may have started
-    /// stays until that is known, and what runs goes on to its end.
+    /// Gives back the waiting tasks, so that other zones run them. Tasks that a former scheduler
+    /// may have started stay until that is known, and running tasks continue to their end.
     pub(crate) fn return_all(&mut self, now: u64) {
         let unread = self.sessions.values().any(|session| !session.is_read());
-        let waits = |active: &Active| active.waiting() > 0 && !active.is_blocked(unread, now);
-        let waiting = self.jobs.iter().filter(|(_, active)| waits(active));
-        for id in waiting.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
+        let is_returnable =
+            |active: &Active| active.waiting() > 0 && !active.is_blocked(unread, now);
+        let returnable = self.jobs.iter().filter(|(_, active)| is_returnable(active));
+        for id in returnable.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             let Some(active) = self.jobs.get_mut(&id) else { continue };
             if active.is_movable() {
                 let tasks = active.give_back(active::Return::Waiting);
@@ -58,7 +59,7 @@
         self.settle(id, now);
     }
 
-    /// Tells the entry of a job that it has these tasks back.
+    /// Gives tasks of a job back to its entry.
     pub(crate) fn give_back(&mut self, id: &name::Name, tasks: share::Tasks, now: u64) {
         let load = self.load(now);
         let Some(active) = self.jobs.get(id) else { return };
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -1,72 +1,73 @@
-//! What an upstream did lately, as seen from outside: never what it says about itself.
+//! Health of an upstream, judged by the results of its runs and never by its own reports.
 
 use crate::time;
 
-/// Runs that are looked back at.
+/// Number of most recent runs that count.
 const WINDOW: u32 = 8;
-/// Bad ends in the window that put an upstream aside. One alone happens to sound ones: a task
-/// fails by its own fault about once in 500 runs.
-const BAD: u32 = 2;
-/// Time for which an upstream is ejected first, microseconds; it doubles each time.
-const ASIDE: u64 = 1_500 * time::MS;
-/// Longest time for which it is ejected, microseconds.
-const MAX_ASIDE: u64 = 6_000 * time::MS;
+/// Number of bad results in the window that eject an upstream. A single one also occurs at healthy
+/// upstreams: a task fails by its own fault about once in 500 runs.
+const EJECT_THRESHOLD: u32 = 2;
+/// Length of the first ejection, microseconds; it doubles with each further one.
+const FIRST_EJECTION: u64 = 1_500 * time::MS;
+/// Longest ejection, microseconds.
+const MAX_EJECTION: u64 = 6_000 * time::MS;
 
-/// How an upstream did lately.
+/// Recent results of an upstream's runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    ends: u32,
-    noted: u32,
-    aside: u64,
-    times: u32,
+    /// Results of the last runs, one bit each, the newest lowest; 1 is a bad end.
+    results: u32,
+    recorded: u32,
+    ejected_until: u64,
+    ejections: u32,
     trial: bool,
 }
 
 impl Health {
-    /// A run has done its work.
+    /// Records a run that completed.
     pub fn good(&mut self) {
-        self.note(false);
+        self.record(false);
         if self.trial {
             self.trial = false;
-            self.ends = 0;
+            self.results = 0;
         }
-        if self.ends == 0 && self.noted >= WINDOW {
-            self.times = 0;
+        if self.results == 0 && self.recorded >= WINDOW {
+            self.ejections = 0;
         }
     }
 
-    /// A run failed or made no progress. True if the upstream is ejected by it.
+    /// Records a run that failed or made no progress, and returns whether this ejects the upstream.
     pub fn bad(&mut self, now: u64) -> bool {
-        self.note(true);
-        let aside = self.trial || self.ends.count_ones() >= BAD;
-        if aside && now >= self.aside {
-            let time = (ASIDE << self.times.min(4)).min(MAX_ASIDE);
-            self.aside = now + time;
-            self.times += 1;
+        self.record(true);
+        let unhealthy = self.trial || self.results.count_ones() >= EJECT_THRESHOLD;
+        if unhealthy && now >= self.ejected_until {
+            let length = (FIRST_EJECTION << self.ejections.min(4)).min(MAX_EJECTION);
+            self.ejected_until = now + length;
+            self.ejections += 1;
             self.trial = true;
-            self.ends = 0;
+            self.results = 0;
             return true;
         }
         false
     }
 
-    /// Whether it is ejected.
+    /// Whether the upstream is ejected.
     pub fn is_ejected(&self, now: u64) -> bool {
-        now < self.aside
+        now < self.ejected_until
     }
 
-    /// Whether it may run one task only, until that one has done its work.
+    /// Whether the upstream is limited to one task until that task completes.
     pub fn is_on_trial(&self) -> bool {
         self.trial
     }
 
-    /// Whether an end was bad lately.
+    /// Whether a recent run ended badly.
     pub fn is_suspected(&self) -> bool {
-        self.ends != 0
+        self.results != 0
     }
 
-    fn note(&mut self, bad: bool) {
-        self.ends = (self.ends << 1 | u32::from(bad)) & ((1 << WINDOW) - 1);
-        self.noted += 1;
+    fn record(&mut self, bad: bool) {
+        self.results = (self.results << 1 | u32::from(bad)) & ((1 << WINDOW) - 1);
+        self.recorded += 1;
     }
 }
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -1,84 +1,85 @@
-//! Jobs, their steps and tasks, and how they end.
+//! Jobs, their steps and tasks, and their verdicts.
 
 use state::name;
 
 use crate::upstream;
 
-/// A short list of step numbers on the stack.
+/// Step numbers; up to two are stored without an allocation.
 pub type Steps = smallvec::SmallVec<[u32; 2]>;
 
-/// Tasks of one job that are alike.
+/// A group of identical tasks of one job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Step {
-    /// How many there are.
+    /// Number of tasks.
     pub count: u32,
-    /// What each needs.
+    /// Resources that each task needs.
     pub need: upstream::Room,
-    /// How long one takes by the client's estimate, milliseconds.
+    /// Client's estimate of the duration of one task, milliseconds.
     pub estimate: u64,
-    /// Steps whose tasks must all be done first.
+    /// Steps whose tasks must all be done before these tasks start.
     pub after: Steps,
-    /// Label that the upstream must have.
+    /// Label that an upstream must have to run these tasks.
     pub label: Option<name::Name>,
-    /// Most tasks of the step on one upstream; 0 sets no bound.
+    /// Largest number of tasks of the step on one upstream; 0 sets no limit.
     pub spread: u32,
 }
 
-/// A job whose answer a client waits for.
+/// A job for which a client waits.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Job {
-    /// Its id, by the client.
+    /// Id of the job, chosen by the client.
     pub id: name::Name,
-    /// Service whose upstreams run it.
+    /// Service whose upstreams run the job.
     pub service: name::Name,
-    /// What its tasks are to do.
+    /// Specification of the work of its tasks.
     pub spec: name::Name,
-    /// Its steps.
+    /// Steps of the job.
     pub steps: Vec<Step>,
-    /// Rank of its queue; 0 comes first.
+    /// Priority of the job; 0 is the highest.
     pub priority: u32,
-    /// A task that failed this often fails the job.
+    /// Number of failed runs of one task that fails the job.
     pub attempts: u32,
-    /// Time from arrival within which the answer is worth most, milliseconds.
+    /// Time from arrival within which an answer has its full value, milliseconds.
     pub objective: u64,
     /// Time from arrival until the client gives up, milliseconds.
     pub patience: u64,
     /// Time since its arrival at the first instance, milliseconds.
     pub age: u64,
-    /// Whether another scheduler may have started tasks of it.
+    /// Whether another scheduler may have started tasks of the job.
     pub resumed: bool,
-    /// The entry's monotonic clock when it handed the job in, microseconds.
+    /// The entry's monotonic clock when it submitted the job, microseconds.
     pub stamp: u64,
 }
 
 impl Job {
-    /// The longest chain of estimates, milliseconds.
+    /// Length of the critical path by the estimates, milliseconds.
     pub fn chain(&self) -> u64 {
         chain(&self.steps)
     }
 
-    /// Whether its tasks may be with several schedulers: those of one step wait for no other.
+    /// Whether several schedulers may share the tasks: the tasks of a single step wait for no other
+    /// step.
     pub fn is_divisible(&self) -> bool {
         self.steps.len() == 1
     }
 
-    /// How many tasks it has.
+    /// Number of tasks in all steps.
     pub fn count(&self) -> u32 {
         self.steps.iter().map(|step| step.count).sum()
     }
 
-    /// Cores that its largest task needs, thousandths.
+    /// Cores that the largest task needs, thousandths.
     pub fn widest(&self) -> u64 {
         self.steps.iter().map(|step| step.need.cpu).max().unwrap_or(0)
     }
 
-    /// Cores that its smallest task needs, thousandths.
+    /// Cores that the smallest task needs, thousandths.
     pub fn least(&self) -> u64 {
         self.steps.iter().map(|step| step.need.cpu).min().unwrap_or(0)
     }
 }
 
-/// The longest chain of estimates through steps, milliseconds.
+/// Length of the critical path through the steps by their estimates, milliseconds.
 pub fn chain(steps: &[Step]) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for step in steps {
@@ -96,9 +97,9 @@
 pub struct Task {
     /// The job.
     pub job: name::Name,
-    /// Number of its step, from 0.
+    /// Index of its step, from 0.
     pub step: u32,
-    /// Number in its step, from 0.
+    /// Index within its step, from 0.
     pub index: u32,
 }
 
@@ -109,19 +110,19 @@
     Complete,
     /// A task failed too often.
     Failed,
-    /// No task was started, nor will one be.
+    /// No task was started, and none will be.
     NotRun(Refusal),
-    /// Some tasks may have run; nobody works on the rest.
+    /// Some tasks may have run; no scheduler will run the others.
     GaveUp,
 }
 
-/// Why no task was started.
+/// Reason why no task was started.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Refusal {
-    /// The queue is too long for the time that is left; room is expected after this time,
+    /// The queue is too long for the remaining time; the scheduler expects room after this time,
     /// milliseconds.
     Overload(u64),
-    /// No scheduler can be reached.
+    /// The entry reaches no scheduler.
     NoScheduler,
     /// All zones are evacuated.
     Evacuated,
@@ -129,7 +130,7 @@
     TooLarge,
     /// The instance is shutting down.
     Draining,
-    /// The job asks for something that this version does not do.
+    /// The job asks for a feature that this version does not support.
     Unsupported(name::Name),
 }
 
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -1,39 +1,41 @@
-//! Orders to upstreams and what comes of them.
+//! Orders to upstreams and their outcomes.
 
 use state::name;
 
 use crate::job;
 
-/// What an upstream is told.
+/// An order to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Go on running what you run, and say what that is and what has ended.
+    /// Continue all runs, and report which runs are in progress and which have ended.
     Hold {
-        /// Last end that was taken note of; it and all before it may be forgotten.
+        /// Number of the last end that the scheduler has processed; the upstream may forget it and
+        /// all earlier ones.
         seen: u64,
-        /// Lease for all that runs, on the upstream's clock, milliseconds.
+        /// End of the lease for all runs, on the upstream's clock, milliseconds; `None`
+        /// renews no lease.
         until: Option<u64>,
-        /// How long the answer may wait for an end, milliseconds.
+        /// Longest time for which the upstream may delay its answer until a run ends, milliseconds.
         wait: u64,
     },
     /// Start a task.
     Start {
         /// The task.
         task: job::Task,
-        /// Number of its run; it rises.
+        /// Number of the run; it rises with each run of the task.
         attempt: u32,
-        /// What to do.
+        /// Specification of the work.
         spec: name::Name,
-        /// Lease, as above.
+        /// End of the lease, on the upstream's clock, milliseconds.
         until: u64,
-        /// Time since the job arrived, milliseconds; the upstream is not told.
+        /// Time since the job arrived, milliseconds; this is not sent to the upstream.
         waited: u64,
     },
     /// Stop a task.
     Stop {
         /// The task.
         task: job::Task,
-        /// Number of its run.
+        /// Number of the run.
         attempt: u32,
     },
 }
@@ -41,48 +43,48 @@
 /// One call to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Comes back with the outcome.
+    /// Number of the call; the answer carries it too.
     pub number: u64,
-    /// The life of the upstream that is meant.
+    /// Incarnation of the upstream that the call is for.
     pub upstream: name::Name,
-    /// Where it is reached, `IP:PORT`.
+    /// Address of the upstream, `IP:PORT`.
     pub address: name::Name,
     /// Fencing token.
     pub fence: u64,
-    /// What it is told.
+    /// The order.
     pub order: Order,
-    /// Time until the call is given up, milliseconds.
+    /// Timeout of the call, milliseconds.
     pub patience: u64,
 }
 
-/// What came of a call, and how long it took.
+/// Outcome of a call, and the time that it took.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Number of the call.
     pub number: u64,
-    /// Its fencing token.
+    /// Fencing token of the call.
     pub fence: u64,
-    /// Time from its sending to its answer, microseconds.
+    /// Time from sending the call to its answer, microseconds.
     pub took: u64,
-    /// What came of it.
+    /// Outcome of the call.
     pub outcome: Outcome,
 }
 
-/// One line of what an upstream runs.
+/// One entry in an upstream's list of runs in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Running {
     /// The task.
     pub task: job::Task,
     /// Number of the run.
     pub attempt: u32,
-    /// How much of it is done.
+    /// Progress, percent.
     pub percent: u32,
 }
 
-/// One line of what has ended at an upstream.
+/// One entry in an upstream's list of runs that have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// Position in the list; it rises.
+    /// Position in the list; it rises with each end.
     pub number: u64,
     /// The task.
     pub task: job::Task,
@@ -95,50 +97,50 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// It has done its work.
+    /// The run completed.
     Done,
-    /// It failed, by its own fault or the upstream's.
+    /// The run failed, by the task's own fault or the upstream's.
     Failed,
-    /// It was told to stop.
+    /// An order stopped the run.
     Stopped,
-    /// Its lease ran out.
+    /// The lease of the run expired.
     Lapsed,
 }
 
-/// Why an upstream did not do what it was told.
+/// Why an upstream refused an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It has seen a higher fencing token.
+    /// The upstream has seen a higher fencing token.
     Fence,
-    /// It has seen this run, or a higher one, end.
+    /// The upstream has seen this run, or one with a higher number, end.
     Old,
-    /// The lease was over when the order arrived.
+    /// The lease had expired when the order arrived.
     Late,
-    /// There is no room.
+    /// The upstream has no room.
     Room,
-    /// It considers itself unhealthy.
+    /// The upstream considers itself unhealthy.
     Unhealthy,
-    /// It cannot read the order, or the order asks for what it never grants.
+    /// The upstream cannot read the order, or the order asks for what it never grants.
     Invalid,
 }
 
-/// What came of a call.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A start or stop was carried out; the upstream's clock, milliseconds.
+    /// The upstream carried out a start or stop; holds the upstream's clock, milliseconds.
     Done(u64),
     /// The answer to a hold.
     Held {
         /// The upstream's clock, milliseconds.
         clock: u64,
-        /// What runs.
+        /// Runs in progress.
         running: Vec<Running>,
-        /// What has ended and was not taken note of.
+        /// Runs that have ended and that the scheduler has not processed yet.
         ended: Vec<Ended>,
     },
-    /// Nothing was done.
+    /// The upstream refused the order; holds its clock, milliseconds, if the answer states it.
     Refused(Reason, Option<u64>),
-    /// Another life of the upstream is at this address.
+    /// Another incarnation of the upstream answers at this address.
     Replaced,
     /// No byte of the order was sent.
     Unsent,
--- a/crates/dispatch/src/outcome.rs
+++ b/crates/dispatch/src/outcome.rs
@@ -1,4 +1,5 @@
-//! What a scheduler makes of the answers of its upstreams: runs that began, go on, and ended.
+//! How a scheduler processes the answers of its upstreams: runs that started, are in progress or
+//! have ended.
 
 use std::collections;
 
@@ -14,25 +15,31 @@
     time, timing, upstream,
 };
 
-/// A task that made no progress for this long hangs, microseconds. Percents of a task of 3,600 ms,
-/// the longest known, change every 36 ms.
-const HANG: u64 = 280 * time::MS;
-/// An upstream that refuses for a reason that passes is left alone this long, microseconds.
-const FULL: u64 = 30 * time::MS;
-/// A number of a run that was seen ended is passed over by this many.
-const SKIP: u32 = 16;
-/// An upstream that is silent for less than this was not gone: a call was lost, microseconds.
-const BRIEF: u64 = 150 * time::MS;
-/// Runs of unknown jobs are stopped this long after they were found; until then an entry may
-/// hand the job in again, microseconds. If its entry was lost with the former scheduler, the
-/// client comes back 1,300 ms after that, perhaps in another zone, and nothing may run then:
-/// this is what is left after 950 ms, the latest at which a run of the former one is found.
-const ORPHAN: u64 = 200 * time::MS;
+/// A task without progress for this long counts as hung, microseconds. The progress of a task of
+/// 3,600 ms, the longest known one, changes by one percent every 36 ms.
+const HANG_TIMEOUT: u64 = 280 * time::MS;
+/// The scheduler starts nothing at an upstream for this long after it refused a start for a
+/// temporary reason, microseconds.
+const REFUSAL_PAUSE: u64 = 30 * time::MS;
+/// An upstream that has seen a run end refuses its number. The scheduler then skips this many run
+/// numbers of the task.
+const ATTEMPT_SKIP: u32 = 16;
+/// A shorter silence than this counts as one lost call and not as an unreachable upstream,
+/// microseconds.
+const BRIEF_SILENCE: u64 = 150 * time::MS;
+/// The scheduler stops runs of unknown jobs this long after it found them, microseconds; until then
+/// an entry may submit the job again. If the entry was lost together with the former scheduler, the
+/// client retries 1,300 ms after the loss, perhaps in another zone, and no run may be left by then.
+/// This value fits into what remains after 950 ms, the latest time at which the scheduler finds
+/// a run of the former one.
+const ORPHAN_GRACE: u64 = 200 * time::MS;
 
 impl Sched {
-    /// Notes how long the answer to a call took, microseconds; it is told with the outcome next.
+    /// Records how long the answer to a call took, microseconds. The caller passes the outcome to
+    /// [`Self::called`] next.
     pub fn timed(&mut self, number: u64, took: u64, outcome: &Outcome, now: u64) {
-        // The answer to a hold waits for news: it tells nothing of the way.
+        // The upstream delays its answer to a hold until a run ends, so that the time says nothing
+        // about the latency of the link.
         let took = match self.sent.get(&number) {
             Some((_, _, Sent::Hold)) => 0,
             Some(_) => took,
@@ -43,7 +50,7 @@
         }
     }
 
-    /// Takes the outcome of a call.
+    /// Processes the outcome of a call.
     pub fn called(&mut self, number: u64, fence: u64, outcome: Outcome, now: u64) {
         let Some((id, asked, sent)) = self.sent.remove(&number) else {
             return;
@@ -53,31 +60,31 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        if let Some(clock) = clock_of(&outcome) {
+        if let Some(clock) = upstream_clock(&outcome) {
             session.tell_time(clock, now);
         }
         let current = fence == session.fence;
         match &outcome {
             Outcome::Replaced => {
                 if let Sent::Start(task, attempt) = &sent {
-                    self.never_began(&id, task, *attempt);
+                    self.requeue_unstarted(&id, task, *attempt);
                 }
                 return self.replaced(&id);
             }
             Outcome::Refused(Reason::Fence, _) if current => {
-                self.outranked(&id, number, now);
+                self.process_outranked(&id, number, now);
             }
             _ => {}
         }
         match sent {
-            Sent::Hold => self.held(&id, number, asked, current, outcome, now),
-            Sent::Start(task, attempt) => self.started(&id, &task, attempt, &outcome, now),
-            Sent::Stop => self.stopped(&id, &outcome, now),
+            Sent::Hold => self.process_hold(&id, number, asked, current, outcome, now),
+            Sent::Start(task, attempt) => self.process_start(&id, &task, attempt, &outcome, now),
+            Sent::Stop => self.process_stop(&id, &outcome, now),
         }
     }
 
-    /// An order to start did not reach the life of the upstream that it was meant for.
-    fn never_began(&mut self, id: &name::Name, task: &Task, attempt: u32) {
+    /// Requeues a task whose start order did not reach the intended incarnation of the upstream.
+    fn requeue_unstarted(&mut self, id: &name::Name, task: &Task, attempt: u32) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let run = session.runs.get(task).filter(|run| run.attempt == attempt);
         if run.is_some_and(|run| run.stage == Stage::Starting) {
@@ -86,7 +93,7 @@
         }
     }
 
-    fn outranked(&mut self, id: &name::Name, number: u64, now: u64) {
+    fn process_outranked(&mut self, id: &name::Name, number: u64, now: u64) {
         if let Some(session) = self.sessions.get_mut(id) {
             session.end_hold(number);
             session.outranked(now);
@@ -94,7 +101,7 @@
         self.out.outranked.push(id.clone());
     }
 
-    fn held(
+    fn process_hold(
         &mut self,
         id: &name::Name,
         number: u64,
@@ -113,14 +120,14 @@
                 let silent = session.silent;
                 session.answered();
                 if let Some(since) = silent {
-                    self.heard_again(since, now);
+                    self.process_recovery(since, now);
                 }
                 let Some(session) = self.sessions.get_mut(id) else { return };
                 if !std::mem::take(&mut session.lapsed).is_empty() {
                     self.findings.back.push(id.clone());
                 }
-                self.take_ends(id, ended, clock, now);
-                self.take_running(id, &running, asked, clock, now);
+                self.process_ended(id, ended, clock, now);
+                self.process_running(id, &running, asked, clock, now);
             }
             Outcome::Refused(Reason::Fence, _) => {}
             _ if under_way => {
@@ -134,9 +141,9 @@
         }
     }
 
-    /// An upstream that fell silent at `since` has answered.
-    fn heard_again(&mut self, since: u64, now: u64) {
-        if now < since + BRIEF {
+    /// Processes the first answer of an upstream that had been silent since `since`.
+    fn process_recovery(&mut self, since: u64, now: u64) {
+        if now < since + BRIEF_SILENCE {
             return self.call_timeout.lost(now);
         }
         for session in self.sessions.values_mut() {
@@ -144,7 +151,7 @@
         }
     }
 
-    fn take_ends(&mut self, id: &name::Name, ended: Vec<Ended>, clock: u64, now: u64) {
+    fn process_ended(&mut self, id: &name::Name, ended: Vec<Ended>, clock: u64, now: u64) {
         for end in ended {
             let Some(session) = self.sessions.get_mut(id) else { return };
             if end.number <= session.seen {
@@ -163,7 +170,7 @@
                 End::Done => session.health.good(),
                 End::Failed if known => {
                     if self.policy.eject && session.health.bad(now) {
-                        self.note("upstream: Ejected, it fails what it starts.", id, "");
+                        self.note("upstream: Ejected after failed runs.", id, "");
                     }
                 }
                 End::Failed | End::Stopped | End::Lapsed => {}
@@ -177,7 +184,7 @@
         }
     }
 
-    /// Notes where the time of a task went that has done its work.
+    /// Records how the time of a completed task is divided.
     fn note_breakdown(&mut self, task: &Task, parts: timing::Breakdown, now: u64) {
         self.out.measures.push(event::Measure::Breakdown(parts));
         if let Some(active) = self.jobs.get_mut(&task.job) {
@@ -227,7 +234,7 @@
         self.settle(&task.job.clone(), now);
     }
 
-    fn take_running(
+    fn process_running(
         &mut self,
         id: &name::Name,
         running: &[Running],
@@ -247,7 +254,7 @@
         let mut hung = Vec::new();
         for row in running {
             let Some(session) = self.sessions.get_mut(id) else { return };
-            let need = need_of(&self.jobs, &row.task);
+            let need = task_need(&self.jobs, &row.task);
             match session.runs.get_mut(&row.task) {
                 Some(run) if run.attempt == row.attempt => {
                     if run.stage == Stage::Unconfirmed {
@@ -263,7 +270,7 @@
                     if run.progress.1 != row.percent {
                         run.progress = (now, row.percent);
                     } else if self.policy.stop_hung
-                        && now >= run.progress.0 + HANG
+                        && now >= run.progress.0 + HANG_TIMEOUT
                         && run.unwanted.is_none()
                     {
                         hung.push(row.task.clone());
@@ -282,20 +289,20 @@
                         unwanted: None,
                     };
                     session.runs.insert(row.task.clone(), run);
-                    self.found(id, &row.task, row.attempt, now);
+                    self.adopt_run(id, &row.task, row.attempt, now);
                 }
             }
         }
         for task in hung {
-            self.hung(id, &task, now);
+            self.stop_hung_task(id, &task, now);
         }
         self.watch_speed(id, running, clock, now);
     }
 
-    /// A run that this scheduler did not start.
-    fn found(&mut self, id: &name::Name, task: &Task, attempt: u32, now: u64) {
+    /// Adopts a run that this scheduler did not start.
+    fn adopt_run(&mut self, id: &name::Name, task: &Task, attempt: u32, now: u64) {
         let Some(active) = self.jobs.get_mut(&task.job) else {
-            self.orphans.insert(task.clone(), now + ORPHAN);
+            self.orphans.insert(task.clone(), now + ORPHAN_GRACE);
             return;
         };
         let waits = active.item(task).is_some_and(|item| item.phase == Phase::Waiting);
@@ -309,18 +316,25 @@
         }
     }
 
-    fn hung(&mut self, id: &name::Name, task: &Task, now: u64) {
-        self.note("upstream: A task makes no progress, stopping it.", id, &task.job.to_string());
+    fn stop_hung_task(&mut self, id: &name::Name, task: &Task, now: u64) {
+        self.note("upstream: Stopping a task without progress.", id, &task.job.to_string());
         if self.policy.eject
             && let Some(session) = self.sessions.get_mut(id)
             && session.health.bad(now)
         {
-            self.note("upstream: Ejected, its tasks make no progress.", id, "");
+            self.note("upstream: Ejected after runs without progress.", id, "");
         }
         self.mark_unwanted(id, task);
     }
 
-    fn started(&mut self, id: &name::Name, task: &Task, attempt: u32, outcome: &Outcome, now: u64) {
+    fn process_start(
+        &mut self,
+        id: &name::Name,
+        task: &Task,
+        attempt: u32,
+        outcome: &Outcome,
+        now: u64,
+    ) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let Some(run) = session.runs.get_mut(task).filter(|run| run.attempt == attempt) else {
             return;
@@ -342,7 +356,7 @@
                 run.stage = Stage::Unconfirmed;
                 run.since = now;
                 session.mark_unconfirmed(now);
-                self.note("upstream: A start had no answer.", id, &task.job.to_string());
+                self.note("upstream: No answer to a start.", id, &task.job.to_string());
             }
             Outcome::Refused(reason, _) => {
                 let need = run.need;
@@ -351,28 +365,28 @@
                     Reason::Room => {
                         session.capacity_limit.refused(session.taken().cpu + need.cpu, now);
                     }
-                    Reason::Late => session.full = now + FULL,
+                    Reason::Late => session.full = now + REFUSAL_PAUSE,
                     Reason::Unhealthy => {
-                        session.full = now + FULL * 3;
+                        session.full = now + REFUSAL_PAUSE * 3;
                         if self.policy.eject {
                             session.health.bad(now);
                         }
                     }
                     Reason::Old | Reason::Fence | Reason::Invalid => {}
                 }
-                self.refused(id, task, *reason, now);
+                self.process_refusal(id, task, *reason, now);
             }
             Outcome::Unsent => {
                 session.runs.remove(task);
                 session.miss(now);
-                self.refused(id, task, Reason::Unhealthy, now);
+                self.process_refusal(id, task, Reason::Unhealthy, now);
             }
             Outcome::Replaced => {}
         }
     }
 
-    /// A start was refused: the task did not run and waits again.
-    fn refused(&mut self, id: &name::Name, task: &Task, reason: Reason, now: u64) {
+    /// Requeues a task whose start was refused; the task did not run.
+    fn process_refusal(&mut self, id: &name::Name, task: &Task, reason: Reason, now: u64) {
         self.note("upstream: A start was refused.", id, &format!("{} {reason:?}", task.job));
         let Some(active) = self.jobs.get_mut(&task.job) else { return };
         let Some(item) = active.item_mut(task) else { return };
@@ -380,7 +394,7 @@
             return;
         }
         match reason {
-            Reason::Old => item.attempt += SKIP,
+            Reason::Old => item.attempt += ATTEMPT_SKIP,
             Reason::Invalid => item.failures += 1,
             _ => {}
         }
@@ -390,7 +404,7 @@
         active.set(task, Phase::Waiting);
     }
 
-    fn stopped(&mut self, id: &name::Name, outcome: &Outcome, now: u64) {
+    fn process_stop(&mut self, id: &name::Name, outcome: &Outcome, now: u64) {
         if let Some(session) = self.sessions.get_mut(id)
             && *outcome == Outcome::Lost
         {
@@ -399,7 +413,7 @@
     }
 }
 
-fn clock_of(outcome: &Outcome) -> Option<u64> {
+fn upstream_clock(outcome: &Outcome) -> Option<u64> {
     match outcome {
         Outcome::Done(clock) | Outcome::Held { clock, .. } => Some(*clock),
         Outcome::Refused(_, clock) => *clock,
@@ -407,7 +421,7 @@
     }
 }
 
-fn need_of(
+fn task_need(
     jobs: &collections::BTreeMap<name::Name, Active>,
     task: &Task,
 ) -> Option<upstream::Room> {
--- a/crates/dispatch/src/place.rs
+++ b/crates/dispatch/src/place.rs
@@ -1,15 +1,17 @@
-//! Which upstream gets a task.
+//! Placement: which upstream runs a task.
 //!
-//! Tasks of a job are placed where they leave the least room over, so that wide tasks still find
-//! a whole upstream: with tasks of 10 to 20 cores on upstreams of 32 and 48, two or three fit.
-//! Upstreams that failed lately come later; those on trial get one task at a time. Slow ones come last, and
-//! only with what is of use when it is done there.
-//! A task that may bring its upstream down goes where the fewest others run, and the others go elsewhere
-//! as long as there is room.
+//! A task is placed at the upstream where it leaves the least room over (best fit), so that tasks
+//! that need many cores still find a whole upstream: of tasks of 10 to 20 cores, two or three fit
+//! on an upstream of 32 or 48 cores.
 //!
-//! The load this answers: more jobs than there is room for. Each answer of an upstream then finds
-//! hundreds of jobs waiting, nearly all of which fit nowhere, so that finding this out has to cost
-//! next to nothing: upstreams are held in the order of their room.
+//! Upstreams with recent failures are used after the others, and one that is on trial gets one task
+//! at a time. Slow upstreams are used last, and only for tasks that are still useful when they are
+//! done there. A task that may crash its upstream goes where the fewest other tasks run, and other
+//! tasks are placed at other upstreams as long as there is room.
+//!
+//! The module handles a load of more jobs than there is room for. Each answer of an upstream then
+//! finds hundreds of waiting jobs, nearly all of which fit on no upstream, so that this check has
+//! to cost next to nothing: upstreams are kept sorted by their free cores.
 
 use std::collections;
 
@@ -17,28 +19,28 @@
 
 use crate::{job, session, suspect, upstream};
 
-/// What came of the attempt to place a task.
+/// Result of an attempt to place a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// An upstream was found.
     Placed,
-    /// It may still be running somewhere.
+    /// A run of the task may still be in progress at some upstream.
     Running,
-    /// No upstream has room for it.
+    /// No upstream has room for the task.
     Full,
 }
 
-/// Free room of all upstreams, as tasks are being placed.
+/// Free room of all upstreams while tasks are being placed.
 #[derive(Debug)]
 pub struct Room<'a> {
     sessions: &'a collections::BTreeMap<name::Name, session::Session>,
-    /// Upstreams without a fault lately, in the order of their free cores.
-    sound: Vec<Free<'a>>,
-    /// Those that failed lately, are on trial or run a suspect, in the same order.
-    suspected: Vec<Free<'a>>,
-    /// Those that work slowly, in the same order.
-    slow: Vec<Free<'a>>,
-    /// All tasks that run; worked out when it is first asked for.
+    /// Upstreams without recent failures, sorted by their free cores.
+    healthy: Vec<Candidate<'a>>,
+    /// Upstreams that failed recently, are on trial or run a suspect task, in the same order.
+    suspected: Vec<Candidate<'a>>,
+    /// Slow upstreams, in the same order.
+    slow: Vec<Candidate<'a>>,
+    /// All running tasks, computed on first use.
     running: Option<collections::HashSet<&'a job::Task>>,
     suspects: &'a suspect::Suspects,
     placed: Vec<(job::Task, name::Name)>,
@@ -46,36 +48,37 @@
 }
 
 #[derive(Debug)]
-struct Free<'a> {
+struct Candidate<'a> {
     session: &'a session::Session,
     room: upstream::Room,
-    /// Tasks that run there.
+    /// Number of runs there.
     runs: usize,
-    /// Whether one of them may bring it down.
+    /// Whether one of these runs may crash the upstream.
     suspect: bool,
-    /// By how much tasks take longer there, where that counts; 1 elsewhere.
+    /// Factor by which tasks take longer there where that counts, 1 elsewhere.
     slowness: f64,
 }
 
-/// Which upstreams are looked through.
+/// Group of upstreams to search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
-    Sound,
+    Healthy,
     Suspected,
     Slow,
 }
 
-/// When the work of a job is of use, for those that would do it slowly.
+/// Limits on the upstreams for a job: those that its entry knows, and slow ones that finish in
+/// time.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
-    /// Up to which number the upstreams are known to its entry.
+    /// Highest directory number of the upstreams that the entry of the job knows.
     pub known: u64,
-    /// Time that is left for a task to be of use, milliseconds.
+    /// Time left in which a task is useful, milliseconds.
     pub left: u64,
 }
 
 impl<'a> Room<'a> {
-    /// The room that is free now.
+    /// Collects the room that is free now.
     pub fn new(
         sessions: &'a collections::BTreeMap<name::Name, session::Session>,
         suspects: &'a suspect::Suspects,
@@ -87,7 +90,7 @@
             .filter(|session| session.is_open(now) && !session.health.is_ejected(now));
         let usable =
             open.filter(|session| !session.health.is_on_trial() || session.runs.is_empty());
-        let free = usable.map(|session| Free {
+        let free = usable.map(|session| Candidate {
             session,
             room: session.free(now),
             runs: session.runs.len(),
@@ -96,32 +99,32 @@
         });
         let (mut slow, free): (Vec<_>, Vec<_>) =
             free.filter(|free| free.room.cpu > 0).partition(|free| free.slowness > 1.0);
-        let (mut suspected, mut sound): (Vec<_>, Vec<_>) =
-            free.into_iter().partition(Free::is_suspected);
-        sound.sort_by_key(|free| free.room.cpu);
+        let (mut suspected, mut healthy): (Vec<_>, Vec<_>) =
+            free.into_iter().partition(Candidate::is_suspected);
+        healthy.sort_by_key(|free| free.room.cpu);
         suspected.sort_by_key(|free| free.room.cpu);
         slow.sort_by_key(|free| free.room.cpu);
         let placed = Vec::new();
-        Self { sessions, sound, suspected, slow, running: None, suspects, placed, policy }
+        Self { sessions, healthy, suspected, slow, running: None, suspects, placed, policy }
     }
 
-    /// The most cores that are free at one upstream, thousandths.
+    /// Largest number of free cores at one upstream, thousandths.
     pub fn most(&self) -> u64 {
-        let last = |list: &[Free<'_>]| list.last().map_or(0, |free| free.room.cpu);
-        last(&self.sound).max(last(&self.suspected)).max(last(&self.slow))
+        let last = |list: &[Candidate<'_>]| list.last().map_or(0, |free| free.room.cpu);
+        last(&self.healthy).max(last(&self.suspected)).max(last(&self.slow))
     }
 
-    /// Takes room for a task, at an upstream that its entry knows.
+    /// Reserves room for a task at an upstream that the entry of its job knows.
     pub fn place(&mut self, job: &job::Job, task: &job::Task, limit: Limit) -> Choice {
         let step = &job.steps[task.step as usize];
-        let classes = [Class::Sound, Class::Suspected, Class::Slow].into_iter();
+        let classes = [Class::Healthy, Class::Suspected, Class::Slow].into_iter();
         let mut found =
             classes.filter_map(|class| Some((class, self.find(class, job, step, task, limit)?)));
         let Some((class, at)) = found.next() else { return Choice::Full };
         if self.is_running(task) {
             return Choice::Running;
         }
-        let mut free = self.list_mut(class).remove(at);
+        let mut free = self.class_mut(class).remove(at);
         free.room = free.room.less(step.need);
         free.runs += 1;
         free.suspect |= self.suspects.has(task);
@@ -129,9 +132,9 @@
         let class = match class {
             Class::Slow => Class::Slow,
             _ if free.is_suspected() => Class::Suspected,
-            _ => Class::Sound,
+            _ => Class::Healthy,
         };
-        let list = self.list_mut(class);
+        let list = self.class_mut(class);
         if !free.session.health.is_on_trial() && free.room.cpu > 0 {
             let at = list.partition_point(|other| other.room.cpu < free.room.cpu);
             list.insert(at, free);
@@ -139,12 +142,14 @@
         Choice::Placed
     }
 
-    /// The tasks that were placed, and where.
+    /// Placed tasks, each with its upstream.
     pub fn into_placed(self) -> Vec<(job::Task, name::Name)> {
         self.placed
     }
 
-    /// Position of the upstream with the least room that is enough.
+    /// Position of the chosen upstream in its list: the one with the least sufficient room, or with
+    /// the most room if the policy has no tight fit. A suspect task goes where the fewest tasks
+    /// run.
     fn find(
         &self,
         class: Class,
@@ -154,12 +159,12 @@
         limit: Limit,
     ) -> Option<usize> {
         let list = match class {
-            Class::Sound => &self.sound,
+            Class::Healthy => &self.healthy,
             Class::Suspected => &self.suspected,
             Class::Slow => &self.slow,
         };
         let from = list.partition_point(|free| free.room.cpu < step.need.cpu);
-        let fits = |free: &Free<'_>| {
+        let fits = |free: &Candidate<'_>| {
             let record = &free.session.record;
             let labelled = step.label.as_ref().is_none_or(|label| record.labels.contains(label));
             record.service == job.service
@@ -171,16 +176,17 @@
                 && (step.spread == 0 || self.count(free.session, task) < step.spread)
         };
         if self.suspects.has(task) {
-            let able = list.iter().enumerate().skip(from).filter(|(_, free)| fits(free));
-            let (at, _) = able.min_by_key(|(_, free)| (free.suspect, free.runs))?;
+            let fitting = list.iter().enumerate().skip(from).filter(|(_, free)| fits(free));
+            let (at, _) = fitting.min_by_key(|(_, free)| (free.suspect, free.runs))?;
             return Some(at);
         }
-        let mut able = list[from..].iter();
-        let found = if self.policy.tight_fit { able.position(fits) } else { able.rposition(fits) };
+        let mut fitting = list[from..].iter();
+        let found =
+            if self.policy.tight_fit { fitting.position(fits) } else { fitting.rposition(fits) };
         Some(from + found?)
     }
 
-    /// Tasks of the step at an upstream, those that were just placed there included.
+    /// Number of tasks of the step at an upstream, including those just placed there.
     fn count(&self, session: &session::Session, task: &job::Task) -> u32 {
         let here = |(other, id): &&(job::Task, name::Name)| {
             *id == session.record.id && other.job == task.job && other.step == task.step
@@ -188,9 +194,9 @@
         session.count(&task.job, task.step) + self.placed.iter().filter(here).count() as u32
     }
 
-    fn list_mut(&mut self, class: Class) -> &mut Vec<Free<'a>> {
+    fn class_mut(&mut self, class: Class) -> &mut Vec<Candidate<'a>> {
         match class {
-            Class::Sound => &mut self.sound,
+            Class::Healthy => &mut self.healthy,
             Class::Suspected => &mut self.suspected,
             Class::Slow => &mut self.slow,
         }
@@ -203,7 +209,7 @@
     }
 }
 
-impl Free<'_> {
+impl Candidate<'_> {
     fn is_suspected(&self) -> bool {
         self.suspect || self.session.health.is_on_trial() || self.session.health.is_suspected()
     }
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -1,114 +1,118 @@
-//! Order of waiting jobs, and which are refused.
+//! Order of the waiting jobs, and which jobs are refused.
 //!
-//! The load this answers: arrivals near the capacity, with bursts and losses beyond it. A job
-//! whose answer comes after its objective is worth a fifth of one in time, and nothing after
-//! three times the objective.
+//! It handles a load with arrivals near the capacity, and with bursts and losses that exceed it. A
+//! job that is answered after its objective is worth a fifth of a job that is answered in time, and
+//! nothing after three times the objective.
 //!
-//! - While little waits, the most urgent of the jobs that can still be in time goes first.
-//! - With more than that ([`is_congested`]) the shortest of them goes first, since it holds room for
-//!   the least time.
-//! - When more waits than all upstreams hold ([`is_overloaded`]) what is late already is refused: room
-//!   for it would make others late.
-//! - What has no hope is refused at any time, while it has not begun.
+//! - While few jobs wait, the most urgent job that can still be in time goes first.
+//! - With more waiting jobs ([`is_congested`]) the shortest job that can still be in time goes
+//!   first, since it occupies room for the least time.
+//! - When more cores are waited for than all upstreams have ([`is_overloaded`]), jobs that are
+//!   already late are refused: room for them would make other jobs late.
+//! - A job that cannot be answered in any useful time is refused at any load, as long as none of
+//!   its tasks has started.
 
 use crate::{active, job, message, time};
 
 /// An answer after this many times the objective is worth nothing.
-const WORTHLESS: u64 = 3;
-/// It is congested when more cores are waited for than are free by this share of all, per cent: a wait
-/// of some milliseconds is no reason to change the order.
-const CONGESTED: i64 = 20;
-/// It is overloaded with this share. Below it a backlog that a lost scheduler left is worked off late
-/// rather than refused.
-const OVERLOADED: i64 = 100;
-/// Shortest time after which a refused client may come back, milliseconds: a few tasks' length.
-const MIN_RETRY: u64 = 200;
-/// The longest, milliseconds.
-const MAX_RETRY: u64 = 3_000;
+const USEFUL_OBJECTIVES: u64 = 3;
+/// A zone is congested when the cores that are waited for exceed the free ones by more than this
+/// share of all cores, percent: a wait of some milliseconds is no reason to change the order.
+const CONGESTED_PERCENT: i64 = 20;
+/// A zone is overloaded when the cores that are waited for exceed the free ones by more than this
+/// share of all cores, percent. Below it, the backlog of a lost scheduler is worked off late instead
+/// of being refused.
+const OVERLOADED_PERCENT: i64 = 100;
+/// Shortest time after which a refused client may retry, milliseconds: the length of a few tasks.
+const MIN_RETRY_MS: u64 = 200;
+/// Longest time after which a refused client may retry, milliseconds.
+const MAX_RETRY_MS: u64 = 3_000;
 
-/// How a waiting job stands; what comes first goes first.
+/// Whether a waiting job can be answered in time; jobs with a lower variant go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Feasibility {
-    /// Some of its tasks have begun.
+    /// Some of its tasks have started.
     Begun,
-    /// It can still be in time.
+    /// It can still be answered in time.
     InTime,
-    /// It will be late.
+    /// It will be answered late.
     Late,
 }
 
-/// Place of a job in the queue; the least goes first.
+/// Sort key of a job in the queue; the job with the lowest key goes first.
 pub fn rank(active: &active::Active, congested: bool, now: u64) -> (Feasibility, u64, u64) {
     let length = if congested { active.job.chain() } else { 0 };
-    (feasibility(active, now), length, latest(active))
+    (feasibility(active, now), length, latest_start(active))
 }
 
-/// How a job stands.
+/// Whether a job has started, and if not, whether it can still be answered in time.
 pub fn feasibility(active: &active::Active, now: u64) -> Feasibility {
     if active.started {
         Feasibility::Begun
-    } else if now <= latest(active) {
+    } else if now <= latest_start(active) {
         Feasibility::InTime
     } else {
         Feasibility::Late
     }
 }
 
-/// Whether more waits than there is room for, so that the shortest go first.
+/// Whether more jobs wait than there is room for, so that the shortest jobs go first.
 pub fn is_congested(load: message::Load) -> bool {
-    exceeds(load, CONGESTED)
+    exceeds(load, CONGESTED_PERCENT)
 }
 
-/// Whether so much waits that what is late already is refused.
+/// Whether so many jobs wait that those that are already late are refused.
 pub fn is_overloaded(load: message::Load) -> bool {
-    exceeds(load, OVERLOADED)
+    exceeds(load, OVERLOADED_PERCENT)
 }
 
-/// Whether more cores are waited for than are free, by a share of all, per cent.
-fn exceeds(load: message::Load, share: i64) -> bool {
-    load.free * 100 < -load.total * share
+/// Whether the cores that are waited for exceed the free ones by more than `percent` of all cores.
+fn exceeds(load: message::Load, percent: i64) -> bool {
+    load.free * 100 < -load.total * percent
 }
 
-/// Until when the answer is to come: within the objective while that can be, in any useful time afterwards.
+/// Deadline for the answer: the end of the objective while that can be met, otherwise the time
+/// after which an answer has no use.
 pub fn useful_until(active: &active::Active, now: u64) -> u64 {
-    if now <= latest(active) { active.due() } else { worthless(active) }
+    if now <= latest_start(active) { active.due() } else { useful_end(active) }
 }
 
-/// When an answer is of no use any more.
-fn worthless(active: &active::Active) -> u64 {
-    let span = (active.job.objective * WORTHLESS).min(active.job.patience);
+/// Time after which an answer has no use.
+fn useful_end(active: &active::Active) -> u64 {
+    let span = (active.job.objective * USEFUL_OBJECTIVES).min(active.job.patience);
     active.arrived + span * time::MS
 }
 
-/// When it has to start to be in time.
-fn latest(active: &active::Active) -> u64 {
+/// Latest start with which the job is answered in time.
+fn latest_start(active: &active::Active) -> u64 {
     active.due().saturating_sub(active.job.chain() * time::MS)
 }
 
-/// Whether an answer can't come in any useful time any more.
+/// Whether the job can no longer be answered in any useful time.
 pub fn is_hopeless(active: &active::Active, now: u64) -> bool {
-    now + active.job.chain() * time::MS / 2 >= worthless(active)
+    now + active.job.chain() * time::MS / 2 >= useful_end(active)
 }
 
-/// When a refused client may come back, milliseconds, if `job` is refused. `line` holds the due
-/// time and the waiting cores of each job.
+/// Time after which the client may retry, milliseconds, if `job` is refused. `queued` holds the end
+/// of the objective, and the cores that are waited for, of each job.
 pub fn refuse(
     job: &job::Job,
-    line: impl Iterator<Item = (u64, i64)>,
+    queued: impl Iterator<Item = (u64, i64)>,
     load: message::Load,
     now: u64,
 ) -> Option<u64> {
     let due = now + job.objective * time::MS;
-    let ahead: i64 = line.filter(|(other, _)| *other <= due).map(|(_, cpu)| cpu).sum();
+    let ahead: i64 = queued.filter(|(other, _)| *other <= due).map(|(_, cpu)| cpu).sum();
     let limit = 2 * load.total;
     (load.total > 0 && ahead > limit).then(|| retry_after(load))
 }
 
-/// When a refused client may come back, milliseconds: when what waits now will have begun, at the
-/// pace of one whole occupation of the upstreams in the length of an average task.
+/// Time after which a refused client may retry, milliseconds: when all tasks that wait now will
+/// have started, if the upstreams finish work for all their cores once per length of an average
+/// task.
 pub fn retry_after(load: message::Load) -> u64 {
-    const AVERAGE: u64 = 250;
-    let behind = (-load.free).max(0) as u64;
-    let turns = behind * AVERAGE / (load.total.max(1) as u64);
-    (MIN_RETRY + turns).min(MAX_RETRY)
+    const AVERAGE_TASK_MS: u64 = 250;
+    let deficit = (-load.free).max(0) as u64;
+    let wait = deficit * AVERAGE_TASK_MS / (load.total.max(1) as u64);
+    (MIN_RETRY_MS + wait).min(MAX_RETRY_MS)
 }
