--- a/crates/dispatch/benches/scheduler.rs
+++ b/crates/dispatch/benches/scheduler.rs
@@ -1,6 +1,6 @@
-//! Time that a scheduler's decisions take at the size of one zone of a large site: 117 upstreams,
-//! 160 jobs and some 570 starts a second; then three times as many jobs, which is more than fits.
-//! Prints the share of one core of this machine.
+//! Measures the time of a scheduler's decisions for one zone of a large site: 117 upstreams, 160
+//! jobs and some 570 starts per second; then with three times as many jobs, which exceed the
+//! capacity. Prints the time as a share of one core of this machine.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -9,23 +9,23 @@
 
 use world::World;
 
-/// Virtual time that is measured.
-const SPAN: u64 = 10_000;
-/// Between two jobs, milliseconds.
-const GAP: u64 = 6;
+/// Measured virtual time, in milliseconds.
+const DURATION: u64 = 10_000;
+/// Time between two jobs, in milliseconds.
+const JOB_INTERVAL: u64 = 6;
 
 fn main() {
-    measure("usual load", GAP);
-    measure("overload", GAP / 3);
+    measure("usual load", JOB_INTERVAL);
+    measure("overload", JOB_INTERVAL / 3);
 }
 
-fn measure(what: &str, gap: u64) {
+fn measure(label: &str, gap: u64) {
     let mut world = World::new(1, 1, 4, 117);
     world.run(3_000);
     world.spent.clear();
-    let began = time::Instant::now();
-    for at in 0..SPAN / gap {
-        // Jobs a second: 34 of 8 tasks, 6 of 4 tasks, 100 of 2 tasks.
+    let started = time::Instant::now();
+    for at in 0..DURATION / gap {
+        // Jobs per second: 34 with 8 tasks, 6 with 4 tasks, 100 with 2 tasks.
         let (count, length) = match at % 23 {
             0..6 => (8, 60),
             6 => (4, 900),
@@ -34,9 +34,9 @@
         world.submit(0, count, 14_000, length);
         world.run(gap);
     }
-    let all = began.elapsed();
+    let elapsed = started.elapsed();
     let keeper = world.spent.get(&0).copied().unwrap_or_default();
-    let share = keeper.as_secs_f64() * 1_000.0 / SPAN as f64 * 100.0;
-    println!("{what}: {share:.2}% of a core for decisions ({all:?} for the whole world)");
-    println!("{what}: complete {}", world.complete());
+    let share = keeper.as_secs_f64() * 1_000.0 / DURATION as f64 * 100.0;
+    println!("{label}: {share:.2}% of a core for decisions ({elapsed:?} for the whole world)");
+    println!("{label}: complete {}", world.complete());
 }
--- a/crates/dispatch/src/compression.rs
+++ b/crates/dispatch/src/compression.rs
@@ -1,38 +1,39 @@
-//! Packing of the configuration's text.
+//! Compression of the configuration's text.
 //!
-//! Every instance is sent each version, and keepers store it.
+//! Every instance receives each version, and keepers store it.
 
 use std::io::Read as _;
 
 use bytes::Bytes;
 use flate2::{Compression, bufread};
 
-/// Longest text, bytes: no operator's call may be larger, and what is packed could hold anything.
+/// Maximum size of a text, in bytes: no request of the operator may be larger, and compressed input
+/// could expand to any size.
 const MAX_TEXT: u64 = 64 << 20;
 
-/// What cannot be unpacked.
+/// Error for input that cannot be decompressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is not what [`compress`] gave.
+    /// The input is no output of [`compress`].
     Broken,
-    /// It holds more than 64 MB.
+    /// The text is larger than 64 MB.
     TooLong,
 }
 
-/// Packs a text; the same text gives the same bytes.
+/// Compresses a text; the same text always gives the same bytes.
 pub fn compress(text: &[u8]) -> Bytes {
     let mut packed = Vec::new();
     let mut reader = bufread::DeflateEncoder::new(text, Compression::fast());
-    // Reading from memory into memory does not fail.
+    // A read from memory into memory does not fail.
     drop(reader.read_to_end(&mut packed));
     packed.into()
 }
 
-/// Gives the text that was packed.
+/// Decompresses the output of [`compress`].
 ///
 /// # Errors
 ///
-/// It was not compressed by [`compress`], or is too long.
+/// Fails if the input is no output of [`compress`], or if the text is too large.
 ///
 /// ```
 /// use dispatch::compression;
@@ -44,6 +45,6 @@
 pub fn decompress(packed: &[u8]) -> Result<Bytes, Fault> {
     let mut text = Vec::new();
     let mut reader = bufread::DeflateDecoder::new(packed).take(MAX_TEXT + 1);
-    reader.read_to_end(&mut text).map_err(|_broken| Fault::Broken)?;
+    reader.read_to_end(&mut text).map_err(|_error| Fault::Broken)?;
     if text.len() as u64 > MAX_TEXT { Err(Fault::TooLong) } else { Ok(text.into()) }
 }
--- a/crates/dispatch/src/core.rs
+++ b/crates/dispatch/src/core.rs
@@ -1,4 +1,4 @@
-//! All decisions of one instance. Events go in with the time, effects come out.
+//! The state machine of one instance: it takes events with their time and returns effects.
 
 use std::collections;
 
@@ -17,73 +17,73 @@
     upstream, view, zone,
 };
 
-/// An instance that did nothing for this long has been stopped, microseconds: what it knows of the
-/// others is too old to go on by. A client that lost its entry comes back after 1,300 ms, and it
-/// takes [`peer::SILENT`] to notice that loss.
-const STOPPED: u64 = 600 * MS;
+/// An instance that handled no event for this long, in microseconds, counts as suspended: its
+/// knowledge of the other instances is too old to act on. A client that lost its entry submits its
+/// job again after 1,300 ms, and noticing that loss takes [`crate::peer::SILENT`].
+const STALL_LIMIT: u64 = 600 * MS;
 
-/// Where the time of day goes on this much further than the steady clock, microseconds, the latter
-/// has stood still: it does so while a machine is suspended. The time of day counts milliseconds.
-const PAUSE: u64 = 20 * MS;
+/// When the wall clock advances this much more than the monotonic clock, in microseconds, the
+/// monotonic clock was stopped, as it is while a machine is suspended. The resolution of the wall
+/// clock is one millisecond.
+const CLOCK_GAP: u64 = 20 * MS;
 
-/// Who changed is kept so soon after the last time, microseconds. Who reads what was kept
-/// has been without power for longer than that, so that it may be wrong about a few of them anyway.
-/// The list of a zone of a thousand is 150 KB.
-const KEEP: u64 = 1_000 * MS;
+/// Shortest time between two saves of the known upstreams and instances, in microseconds. An
+/// instance that reads a save was without power for longer than this, so a few entries of the save
+/// may be out of date in any case. The list of a zone of a thousand upstreams takes 150 KB.
+const SAVE_INTERVAL: u64 = 1_000 * MS;
 
-/// Line for an announcement that was not taken.
-const REFUSED: &str = "upstream: Announcement refused.";
+/// Log line for a rejected announcement.
+const ANNOUNCEMENT_REFUSED: &str = "upstream: Announcement refused.";
 
-/// What an instance is.
+/// Configuration of one instance.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This instance.
     pub me: member::Card,
-    /// Addresses of instances to start from.
+    /// Addresses of the instances to contact first.
     pub seeds: Vec<name::Name>,
-    /// Length of upstreams' leases, milliseconds.
+    /// Lease duration of upstreams, in milliseconds.
     pub lease: u64,
-    /// Seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Processor time that it has, thousandths of a core.
+    /// CPU capacity of this instance, in thousandths of a core.
     pub cores: u64,
-    /// Which ways of deciding are in use.
+    /// Enabled scheduling policies.
     pub policy: policy::Policy,
-    /// Zones that the settings name.
+    /// Zones named in the settings.
     pub zones: Vec<name::Name>,
-    /// Incarnation of the disk, what it held, and whether the whole system starts for the first
-    /// time; nothing for an instance without a disk.
+    /// State recovered from the disk; `None` for an instance without a disk.
     pub disk: Option<Disk>,
 }
 
-/// The disk of a keeper.
+/// State that a keeper recovered from its disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    /// Its incarnation.
+    /// Incarnation of the disk.
     pub life: u64,
-    /// What it held.
+    /// Recovered state of the consensus group.
     pub recovered: group::Recovered,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first: bool,
-    /// Who was known last.
+    /// Upstreams and instances known before the restart.
     pub known: Known,
 }
 
-/// All decisions of one instance.
+/// The state machine of one instance; it makes all decisions and does no I/O.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) lease: u64,
-    /// Processor time, thousandths of a core.
+    /// CPU capacity of this instance, in thousandths of a core.
     pub(crate) cores: u64,
     pub(crate) policy: policy::Policy,
     pub(crate) membership: membership::Membership,
     pub(crate) claims: leadership::Claims,
     pub(crate) table: upstream::Table,
-    /// The zones whose upstreams it knows, its own among them.
+    /// The zones whose upstreams this instance knows, including its own zone.
     pub(crate) zones: collections::BTreeMap<name::Name, zone::Zone>,
-    /// Entries of other zones that it hears, as of the last tick.
+    /// Entries of other zones that this keeper watches, as of the last tick.
     pub(crate) backed: Vec<name::Name>,
-    /// Tasks that ran at upstreams that were lost.
+    /// Tasks that ran at lost upstreams.
     pub(crate) suspects: suspect::Suspects,
     pub(crate) submissions: submissions::Submissions,
     pub(crate) control_log: Option<control_log::ControlLog>,
@@ -92,17 +92,17 @@
     pub(crate) named_zones: Vec<name::Name>,
     pub(crate) draining: bool,
     pub(crate) leads: bool,
-    /// Newer configurations than the one in force, and since when they are known of.
+    /// Versions newer than the active configuration, and when this instance learned of each.
     pub(crate) told: collections::BTreeMap<u64, u64>,
     pub(crate) fetch: fetch::Fetch,
-    /// What was last given out to be remembered, and when.
+    /// Digest of the last saved [`Known`], and the time of that save.
     pub(crate) kept: (u64, u64),
     pub(crate) last: Now,
     pub(crate) out: Vec<Output>,
 }
 
 impl Core {
-    /// An instance that starts at `now`.
+    /// Creates an instance that starts at `now`.
     pub fn new(config: Config, now: Now) -> Self {
         let Config { me, seeds, lease, seed, cores, policy, zones, mut disk } = config;
         let known = disk.as_mut().map(|disk| std::mem::take(&mut disk.known)).unwrap_or_default();
@@ -142,14 +142,14 @@
         core
     }
 
-    /// Takes one event and gives its effects.
+    /// Handles one event and returns its effects.
     pub fn handle(&mut self, event: Event, now: Now) -> Vec<Output> {
         self.tell(event, now);
         self.settle(now)
     }
 
-    /// Takes one event. Its effects come with the next [`Self::settle`]: placing tasks once for
-    /// many events costs little more than once for one.
+    /// Handles one event. The next [`Self::settle`] returns its effects: placing tasks once for
+    /// many events costs little more than placing them for one event.
     pub fn tell(&mut self, event: Event, now: Now) {
         self.notice_stop(now);
         match event {
@@ -167,7 +167,7 @@
             Event::Left(ticket) => self.submissions.left(ticket),
             Event::Announce(ticket, record) => self.announce(ticket, &record, now),
             Event::Unlisted(ticket, record) => self.unlisted(ticket, &record, now),
-            Event::Unread(id, why) => self.note(REFUSED, &id, why),
+            Event::Unread(id, why) => self.note(ANNOUNCEMENT_REFUSED, &id, why),
             Event::Withdraw(ticket, id) => self.withdraw(ticket, &id, now),
             Event::Publish(ticket, document) => match &mut self.control_log {
                 Some(control_log) => control_log.publish(ticket, document, now.mono),
@@ -181,8 +181,8 @@
                 None => self.reply(ticket, Reply::Unavailable),
             },
             Event::Called(order::Answer { number, fence, took, outcome }) => {
-                let asker = self.scheds_mut().find(|sched| sched.expects(number));
-                if let Some(sched) = asker {
+                let sched = self.scheds_mut().find(|sched| sched.expects(number));
+                if let Some(sched) = sched {
                     sched.timed(number, took, &outcome, now.mono);
                     sched.called(number, fence, outcome, now.mono);
                 }
@@ -194,49 +194,53 @@
         }
     }
 
-    /// Gives the effects of what was told.
+    /// Returns the effects of all events since the last call.
     pub fn settle(&mut self, now: Now) -> Vec<Output> {
         self.settle_parts(now);
         std::mem::take(&mut self.out)
     }
 
-    /// Trusts nobody after a time in which this instance was stopped. The wall clock shows it
-    /// where the monotonic one was stopped as well.
+    /// Counts all other instances as silent after this instance was stopped. The wall clock reveals
+    /// the stop if the monotonic clock was stopped as well.
     pub(crate) fn notice_stop(&mut self, now: Now) {
         let last = std::mem::replace(&mut self.last, now);
         let wall = now.wall.saturating_sub(last.wall) * MS;
-        let steady = now.mono.saturating_sub(last.mono);
-        if wall > steady + PAUSE {
+        let mono = now.mono.saturating_sub(last.mono);
+        if wall > mono + CLOCK_GAP {
             self.membership.stood_still(now.mono);
         }
-        let gap = steady.max(wall);
-        if gap < STOPPED {
+        let elapsed = mono.max(wall);
+        if elapsed < STALL_LIMIT {
             return;
         }
         self.membership.suspect_all(now.mono);
         self.scheds_mut().for_each(sched::Sched::drop_all);
         let me = self.membership.me().name.clone();
-        self.note("node: Was stopped, trusting nobody until heard again.", &me, gap.to_string());
+        self.note(
+            "node: Was stopped, trusting nobody until heard again.",
+            &me,
+            elapsed.to_string(),
+        );
     }
 
-    /// Whether clients may be sent here.
+    /// Whether this instance is ready to take requests of clients.
     pub fn is_ready(&self, now: Now) -> bool {
-        let reached = |claim: &claim::Claim| self.membership.holds(claim, now.mono);
-        let settled = self.document.version > 0 && !self.is_outdated(now);
-        !self.draining && settled && self.claims.iter().any(reached)
+        let reachable = |claim: &claim::Claim| self.membership.holds(claim, now.mono);
+        let configured = self.document.version > 0 && !self.is_outdated(now);
+        !self.draining && configured && self.claims.iter().any(reachable)
     }
 
-    /// Jobs that clients wait for here.
+    /// Number of open jobs, for which clients wait at this instance.
     pub fn open(&self) -> usize {
         self.submissions.open()
     }
 
-    /// Digest of the upstreams of its own zone that it knows.
+    /// Digest of the known upstreams of this instance's zone.
     pub(crate) fn digest(&self) -> u64 {
         self.zones.get(&self.membership.me().zone).map_or(0, |zone| zone.directory.digest())
     }
 
-    /// The clients' jobs, and what is known for deciding about them.
+    /// The submissions of clients, and the view of the system that decisions about them use.
     pub(crate) fn view(&mut self, now: Now) -> (view::View<'_>, &mut submissions::Submissions) {
         let upstreams = self.digest();
         let view = view::View {
@@ -249,17 +253,17 @@
         (view, &mut self.submissions)
     }
 
-    /// Jobs under way here, as a scheduler.
+    /// Number of jobs that this instance schedules.
     pub fn jobs(&self) -> usize {
         self.scheds().map(sched::Sched::jobs).sum()
     }
 
-    /// The zones that are evacuated, as far as is known here.
+    /// The evacuated zones that this instance knows of.
     pub fn evacuations(&self) -> &evacuation::Evacuations {
         &self.evacuations
     }
 
-    /// The configuration in force here.
+    /// The active configuration of this instance.
     pub fn document(&self) -> &Document {
         &self.document
     }
@@ -269,9 +273,10 @@
         self.beat(now);
         self.fetch_newer(now);
         let table = &self.table;
-        let gone =
-            |id: &name::Name| table.get(id).is_none_or(|held| held.phase == upstream::Phase::Gone);
-        self.zones.values_mut().for_each(|zone| zone.drop_lingering(gone));
+        let is_gone = |id: &name::Name| {
+            table.get(id).is_none_or(|known| known.phase == upstream::Phase::Gone)
+        };
+        self.zones.values_mut().for_each(|zone| zone.drop_lingering(is_gone));
         self.remember(now);
         for name in self.membership.unresponsive(now.mono) {
             self.note("peer: Nothing comes back, dialling anew.", &name, String::new());
@@ -305,12 +310,12 @@
         }
     }
 
-    /// Keeps who is known, on an instance with a disk.
+    /// Saves the known upstreams and instances, on an instance with a disk.
     fn remember(&mut self, now: Now) {
         let (former, at) = self.kept;
-        let state = self.table.changes() ^ self.membership.digest();
-        if self.control_log.is_some() && now.mono >= at + KEEP && state != former {
-            self.kept = (state, now.mono);
+        let digest = self.table.changes() ^ self.membership.digest();
+        if self.control_log.is_some() && now.mono >= at + SAVE_INTERVAL && digest != former {
+            self.kept = (digest, now.mono);
             let upstreams = self.table.all_present().cloned().collect();
             let instances = self.membership.neighbours();
             self.out.push(Output::Remember(Known { upstreams, instances }));
@@ -318,22 +323,23 @@
     }
 
     pub(crate) fn announce(&mut self, ticket: Ticket, record: &upstream::Record, now: Now) {
-        if let Some(held) = self.table.take(record.clone()) {
+        if let Some(merged) = self.table.take(record.clone()) {
             let detail = format!("{:?} at {} in {}", record.phase, record.address, record.zone);
             self.note("upstream: Announced.", &record.id, detail);
-            self.spread(&held, now);
+            self.spread(&merged, now);
         }
         self.reply(ticket, Reply::Noted);
     }
 
-    /// Takes the word of an upstream that is known to be of this service, which a change may have
-    /// dropped: it may be leaving. Any other may be of another writer; if it is one of a service to
-    /// come, its next announcement is taken.
+    /// Handles an announcement for a service that the active configuration does not name. Accepts
+    /// it if the upstream is already known to belong to that service: a change may have removed the
+    /// service, and the upstream may be leaving. Rejects it otherwise, since the announcement may
+    /// come from another writer. If the service is added later, the next announcement is accepted.
     pub(crate) fn unlisted(&mut self, ticket: Ticket, record: &upstream::Record, now: Now) {
         if self.table.get(&record.id).is_some_and(|held| held.service == record.service) {
             return self.announce(ticket, record, now);
         }
-        self.note(REFUSED, &record.id, format!("no service {}", record.service));
+        self.note(ANNOUNCEMENT_REFUSED, &record.id, format!("no service {}", record.service));
         self.reply(ticket, Reply::Unavailable);
     }
 
@@ -345,17 +351,17 @@
         self.reply(ticket, Reply::Noted);
     }
 
-    /// Tells every instance that may schedule the upstream of its news.
+    /// Sends the record of an upstream to every instance that may schedule this upstream.
     pub(crate) fn spread(&mut self, record: &upstream::Record, now: Now) {
         self.tell_sched(record);
         let names: Vec<_> = self.membership.names().cloned().collect();
         for to in names {
-            let concerned = self
+            let interested = self
                 .membership
                 .peer(&to)
                 .and_then(|peer| peer.card.as_ref())
                 .is_some_and(|card| self.is_told(card, &record.zone));
-            if concerned {
+            if interested {
                 self.send(&to, Body::Records(vec![record.clone()]), now);
             }
         }
@@ -369,7 +375,7 @@
         self.beat_all(now);
     }
 
-    /// Moves the effects of the parts on.
+    /// Collects the effects of the schedulers, the submissions and the control log.
     pub(crate) fn settle_parts(&mut self, now: Now) {
         for zone in self.scheduled_zones() {
             self.settle_findings(&zone, now);
@@ -409,7 +415,7 @@
     }
 }
 
-/// The answer to a job that comes while the instance shuts down.
+/// The reply to a job that arrives while the instance shuts down.
 pub fn refuse_draining() -> Reply {
     Reply::Verdict(Verdict::NotRun(Refusal::Draining))
 }
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -1,19 +1,20 @@
-//! Which upstreams of its zone an instance knew at which time.
+//! The upstreams of a zone that an instance knows, with the digests of former sets.
 //!
-//! Sets of upstreams are told by a digest. A scheduler starts an entry's tasks only at upstreams of
-//! a set whose digest the entry has told it. The entry tells that digest when it hands the job to
-//! another scheduler, which so knows whether it has heard of every upstream where a task may run.
+//! A digest identifies a set of upstreams. A scheduler starts an entry's tasks only at upstreams of
+//! a set whose digest the entry has sent to it. The entry passes that digest on when it hands the
+//! job over to another scheduler, which can so tell whether it knows every upstream where a task
+//! may run.
 
 use std::collections;
 
 use state::name;
 
-/// So many former sets are known by their digest. After a restart of everything a zone of a thousand
-/// upstreams hears of all of them within 1.5 s, and of a hundred between a heartbeat and its answer;
-/// 16 KB in all.
-const KEPT: usize = 1_024;
+/// Number of digests of former sets that a directory keeps; they take 16 KB in all. After a restart
+/// of the whole system, the instances of a zone with a thousand upstreams learn of all of them
+/// within 1.5 s, and of a hundred between a heartbeat and its answer.
+const MAX_FORMER: usize = 1_024;
 
-/// The upstreams of one zone, as a number that rises with each one that is added.
+/// The upstreams of one zone, numbered in the order in which they were added.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     added: collections::BTreeMap<name::Name, u64>,
@@ -23,18 +24,18 @@
 }
 
 impl Directory {
-    /// An upstream is there.
+    /// Adds an upstream.
     pub fn add(&mut self, id: &name::Name) {
         if self.added.contains_key(id) {
             return;
         }
         self.count += 1;
         self.added.insert(id.clone(), self.count);
-        self.change(id);
+        self.update_digest(id);
     }
 
-    /// An upstream is gone. Without `last` something may run there that others know of: no former
-    /// set with it counts as covered any more.
+    /// Removes an upstream. Without `last`, tasks that other instances know of may still run there:
+    /// no former set that contains it counts as covered any more.
     pub fn remove(&mut self, id: &name::Name, last: bool) {
         if self.added.remove(id).is_none() {
             return;
@@ -42,40 +43,40 @@
         if !last {
             self.former.clear();
         }
-        self.change(id);
+        self.update_digest(id);
     }
 
-    fn change(&mut self, id: &name::Name) {
+    fn update_digest(&mut self, id: &name::Name) {
         self.digest ^= xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes());
         self.former.push_back((self.digest, self.count));
-        if self.former.len() > KEPT {
+        if self.former.len() > MAX_FORMER {
             self.former.pop_front();
         }
     }
 
-    /// How many upstreams there are.
+    /// Number of upstreams.
     pub fn len(&self) -> usize {
         self.added.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no upstreams.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty()
     }
 
-    /// Digest of the present set; 0 for none.
+    /// Digest of the current set; 0 for the empty set.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The number up to which upstreams are in the set with this digest, if that is a present or
-    /// former one: each of it is known here, or gone for good.
+    /// Returns the highest number of an upstream in the set with this digest, if it is the current
+    /// set or a former one: each upstream of that set is known here, or gone for good.
     pub fn find(&self, digest: u64) -> Option<u64> {
         let found = self.former.iter().rev().find(|(other, _)| *other == digest);
         found.map(|(_, count)| *count).or((digest == 0).then_some(0))
     }
 
-    /// The number of an upstream.
+    /// Returns the number of an upstream.
     pub fn number(&self, id: &name::Name) -> Option<u64> {
         self.added.get(id).copied()
     }
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -1,122 +1,122 @@
-//! What an instance is told and what it does.
+//! Events that an instance handles, and the effects that it returns.
 
 use state::name;
 
 use crate::{job, message, order, timing, upstream};
 
-/// A request that waits for a reply.
+/// Identifier of a request that awaits a reply.
 pub type Ticket = u64;
 
-/// Something that has happened.
+/// Input of an instance.
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A message of another instance.
+    /// A message arrived from another instance.
     Peer(name::Name, message::Body),
-    /// Stores up to this number are on disk.
+    /// Writes up to this number are on disk.
     Saved(u64),
-    /// A client hands in a job.
+    /// A client submits a job.
     Submit(Ticket, Box<job::Job>),
-    /// The client of this ticket has gone.
+    /// The client of this ticket has disconnected.
     Left(Ticket),
     /// An upstream announces itself.
     Announce(Ticket, upstream::Record),
-    /// An upstream announces itself for a service that the configuration in force here does not
-    /// name.
+    /// An upstream announces itself for a service that is missing from this instance's active
+    /// configuration.
     Unlisted(Ticket, upstream::Record),
-    /// An announcement under this id cannot be taken, and why.
+    /// An announcement under this id is rejected, with the reason.
     Unread(name::Name, String),
-    /// An upstream says that it ends.
+    /// An upstream announces that it shuts down.
     Withdraw(Ticket, name::Name),
-    /// The operator hands in a configuration.
+    /// The operator publishes a configuration.
     Publish(Ticket, message::Document),
-    /// The operator evacuates a zone, or takes it back where this is `false`.
+    /// The operator evacuates a zone, or ends its evacuation where this is `false`.
     Evacuate(Ticket, name::Name, bool),
     /// The operator asks for the newest configuration.
     Read(Ticket),
-    /// What came of a call.
+    /// A call to an upstream has finished.
     Called(order::Answer),
-    /// The settings name other seeds.
+    /// The seeds in the settings have changed.
     Seeds(Vec<name::Name>),
-    /// Finish what is in progress and take nothing new.
+    /// The instance finishes the work in progress and takes no new jobs.
     Drain,
 }
 
-/// Something to do.
+/// An effect that the caller carries out.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    /// Send a message. A stream is opened with the first one: with streams to everybody, 123
-    /// instances would have 15,000.
+    /// Send a message. The first message opens the stream: with a stream between every two
+    /// instances, 123 instances would have 15,000 streams.
     Send(name::Name, message::Body),
-    /// Open the stream to an instance anew.
+    /// Reconnect the stream to an instance.
     Redial(name::Name),
     /// Close the stream to an instance.
     Disconnect(name::Name),
-    /// Store a change of the replicated configuration.
+    /// Write a change of the replicated configuration to disk.
     Save(u64, coord::raft::Save),
-    /// Keep whom this instance knows, in place of what was kept before.
+    /// Save the upstreams and instances that this instance knows, replacing the previous save.
     Remember(Known),
     /// Call an upstream.
     Call(order::Call),
     /// Answer a ticket.
     Reply(Ticket, Reply),
-    /// A newer configuration is in force here.
+    /// Apply a newer configuration.
     Document(message::Document),
-    /// A decision worth a log line.
+    /// Log a decision.
     Note(Note),
-    /// A time for a histogram.
+    /// Record a duration in a histogram.
     Measure(Measure),
 }
 
-/// A time by which decisions are judged, microseconds.
+/// A duration by which decisions are judged, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
-    /// From the arrival of a job until the first of its tasks is started by a scheduler.
+    /// Time from the arrival of a job until a scheduler starts the first of its tasks.
     FirstWait(u64),
-    /// For which an upstream had its last end behind it when a task was started there that had waited
-    /// as long: the room stood empty.
+    /// Time for which capacity was idle while a task waited: from the last end of a run at an
+    /// upstream until a task that had waited at least that long was started there.
     IdleRoom(u64),
-    /// Where the time of a task went that has done its work.
+    /// How the time of a completed task was spent.
     Breakdown(timing::Breakdown),
-    /// Age of the word of a zone's room by which tasks were handed there.
+    /// Age of the reported load of a zone by which tasks were handed to that zone.
     LoadAge(u64),
 }
 
-/// Answer to a ticket.
+/// Reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// How a job ended.
+    /// The outcome of a job.
     Verdict(job::Verdict),
-    /// It is taken note of.
+    /// The request was accepted.
     Noted,
     /// The newest configuration.
     Newest(message::Document),
-    /// Another configuration holds this version.
+    /// Another configuration already has this version.
     Conflict,
-    /// There is no such zone.
+    /// The zone does not exist.
     NoZone,
-    /// This instance cannot tell, or cannot do it now.
+    /// This instance does not know, or cannot carry out the request now.
     Unavailable,
 }
 
-/// A decision worth a log line. Its text names its kind.
+/// A decision to be logged. Its text names its kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
     /// What happened.
     pub text: &'static str,
-    /// The job, upstream or instance that it is about.
+    /// The job, upstream or instance concerned.
     pub subject: name::Name,
-    /// What decided it.
+    /// The facts behind the decision.
     pub detail: String,
 }
 
-/// Whom an instance with a disk knew last: after a restart of everything it finds them sooner than
-/// they find it.
+/// Upstreams and instances that an instance with a disk last knew: after a restart of the whole
+/// system it finds them sooner than they find it.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Known {
     /// Upstreams of all zones.
     pub upstreams: Vec<upstream::Record>,
-    /// Other instances, those first that it needs most.
+    /// Other instances, the most needed ones first.
     pub instances: Vec<name::Name>,
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,35 +1,38 @@
-//! Dispatch over upstreams that are owned: who schedules a zone, which upstreams it has, and
-//! which task runs where. Everything is decided without I/O, clocks or threads.
+//! Dispatch of tasks to upstreams, each owned by one scheduler: which instance schedules a zone,
+//! which upstreams the zone has, and which task runs where. All decisions are made without I/O,
+//! clocks or threads.
 //!
-//! An instance is a [`Core`]. It is told what happens ([`event::Event`]) and when
-//! ([`time::Now`]), and says what to do ([`event::Output`]).
+//! An instance is a [`Core`]. It takes events ([`event::Event`]) with their time ([`time::Now`])
+//! and returns effects ([`event::Output`]).
 //!
-//! - [`membership`], [`peer`], [`watch_list`], [`redial`] and [`leadership`]: which instances are heard, which
-//!   ought to be, when streams are dialled anew, and who schedules a zone.
-//! - [`upstream`], [`directory`] and [`session`]: the table of upstreams, who knows which of them, and
-//!   one of them as its owner sees it.
+//! - [`membership`], [`peer`], [`watch_list`], [`redial`] and [`leadership`]: which instances are
+//!   alive, which of them exchange heartbeats, when streams are reconnected, and which instance
+//!   schedules a zone.
+//! - [`upstream`], [`directory`] and [`session`]: the table of upstreams, which instance knows
+//!   which of them, and the state of one upstream at its owner.
 //! - [`sched`], [`active`], [`queue`], [`place`] and [`health`]: jobs, their order, and where
 //!   their tasks run.
-//! - [`submissions`] and [`share`]: the entry's side of a job, and which of its tasks are with whom.
-//! - [`status`]: how an instance stands, in numbers.
-//! - [`control_log`], [`fetch`], [`compression`] and [`routing`]: the replicated configuration, how it reaches
-//!   everybody, and what it says of a request.
-//! - [`evacuation`]: the zones where nothing is started until they are taken back.
+//! - [`submissions`] and [`share`]: the entry's side of a job, and which scheduler has which of its
+//!   tasks.
+//! - [`status`]: the figures of an instance for monitoring.
+//! - [`control_log`], [`fetch`], [`compression`] and [`routing`]: the replicated configuration, its
+//!   distribution to all instances, and the routing of requests by it.
+//! - [`evacuation`]: the zones where no task starts until the operator ends the evacuation.
 //!
-//! # Decisions about queueing, refusing and placing
+//! # Decisions about queueing, load shedding and placement
 //!
-//! | decision | load that it answers | where |
+//! | decision | load that it handles | where |
 //! | --- | --- | --- |
-//! | which zone gets a task | one zone is full while others are not | [`submissions`], [`share`] |
-//! | which job goes first, which late ones are refused | arrivals near the room and beyond | [`queue`] |
-//! | what is refused when it arrives | queues longer than any objective | [`queue::refuse`] |
+//! | which zone gets a task | one zone is full, others are not | [`submissions`], [`share`] |
+//! | job order, refusal of late jobs | arrivals near capacity and above | [`queue`] |
+//! | which job is refused on arrival | queues longer than any objective | [`queue::refuse`] |
 //! | which upstream gets a task | more jobs than fit, tasks of 10 to 20 cores | [`place`] |
-//! | what an upstream holds that refused a task | room that shrinks without a word | [`capacity_limit`] |
-//! | which upstreams are ejected, which tasks stopped | ones that fail or hang | [`health`] |
-//! | which upstreams are slow | ones that do what they are told, several times slower | [`speed`] |
-//! | which task brings upstreams down | tasks that crash each upstream that starts them | [`suspect`] |
-//! | when an order is given up | orders that get lost | [`call_timeout`] |
-//! | who schedules a zone, and when another does | losses, cuts, restarts of everything | [`leadership`] |
+//! | capacity after a refused task | capacity that shrinks without notice | [`capacity_limit`] |
+//! | which upstreams are ejected, which tasks stopped | upstreams that fail or hang | [`health`] |
+//! | which upstreams are slow | correct upstreams that are several times slower | [`speed`] |
+//! | which task crashes upstreams | tasks that crash each upstream that starts them | [`suspect`] |
+//! | when a call to an upstream times out | calls that are lost | [`call_timeout`] |
+//! | zone scheduler, takeover | losses, partitions, restarts of the whole system | [`leadership`] |
 //!
 //! ```
 //! use dispatch::{Core, core, event, member, time};
@@ -49,7 +52,7 @@
 //!     clock = time::Now::new(clock.mono + 20 * time::MS, clock.wall + 20);
 //!     core.handle(event::Event::Tick, clock);
 //! }
-//! assert!(core.is_scheduler(), "nobody else is there");
+//! assert!(core.is_scheduler(), "it is the only instance");
 //! ```
 
 pub mod active;
--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -1,35 +1,35 @@
-//! What the instances know of one another.
+//! Identity of an instance, as the instances exchange it.
 
 use state::name;
 
-/// What an instance does in the system.
+/// Role of an instance in the system.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Holds the configuration on its disk and hears of upstreams.
+    /// Stores the configuration on its disk and receives the records of upstreams.
     Keeper,
-    /// Takes clients' jobs.
+    /// Accepts jobs of clients.
     Entry,
 }
 
-/// One life of an instance, as it introduces itself.
+/// Identity of one incarnation of an instance, as the instance reports it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Card {
-    /// Address of its streams, `IP:PORT`; it names the instance.
+    /// Address of its streams, `IP:PORT`, which is also the name of the instance.
     pub name: name::Name,
-    /// Availability zone it is in.
+    /// Its availability zone.
     pub zone: name::Name,
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Incarnation: the wall clock when the process started, in milliseconds.
     pub life: u64,
 }
 
 impl Card {
-    /// Order in which the instances of a zone take its scheduler over: keepers have more
-    /// processor time and no clients of their own.
+    /// Order in which the instances of a zone take over its scheduling: keepers come first, since
+    /// they have more CPU time and no clients of their own.
     pub fn rank(&self) -> (Role, &name::Name) {
         (self.role, &self.name)
     }
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -9,54 +9,58 @@
 pub enum Body {
     /// A heartbeat.
     Ping(Box<Ping>),
-    /// All instances that the sender knows, and those that it has forgotten, with their last life.
+    /// All instances that the sender knows, and those that it has forgotten with their last
+    /// incarnation.
     Members(Vec<member::Card>, Vec<(name::Name, u64)>),
-    /// News of upstreams.
+    /// New or changed records of upstreams.
     Records(Vec<upstream::Record>),
-    /// All upstreams of a zone that the sender counts on; it is answered with what it lacks.
+    /// All upstreams of a zone that the sender knows; the receiver answers with the missing
+    /// records.
     Listing(name::Name, Vec<upstream::Record>),
-    /// Send me a part of the configuration.
+    /// Requests a part of the configuration.
     Fetch(Ask),
     /// A part of a committed configuration.
     Part(Part),
-    /// Agreement on the configuration.
+    /// A message of the consensus protocol for the configuration.
     Agree(Box<coord::message::Body>),
-    /// Which version is the newest? The number comes back with the answer.
+    /// Asks for the newest version. The answer repeats the number of the query.
     Confirm(u64),
-    /// The newest committed version, known since after the question was asked.
+    /// The number of the query and the newest committed version, which was read after the query.
     Confirmed(u64, u64),
     /// A job, or some of its tasks, for the scheduler of this zone.
     Submit(name::Name, Box<job::Job>, Handover),
-    /// Nobody waits for the job any more.
+    /// Cancels a job for which no client waits any more.
     Cancel(name::Name),
-    /// Jobs that the sender still waits for from the scheduler of this zone, and the sender's monotonic
-    /// clock, microseconds.
+    /// Jobs that the sender still awaits from the scheduler of this zone, and the sender's
+    /// monotonic clock, in microseconds.
     Await(name::Name, Vec<Awaited>, u64),
-    /// The scheduler does not know this hand-over of the job.
+    /// The scheduler does not know this handover of the job.
     Unknown(name::Name, u64),
-    /// How what the scheduler had of a job ended.
+    /// The outcome of the tasks of a job that the scheduler had.
     Verdict(name::Name, Box<Ruling>),
-    /// The scheduler won't start these tasks of a job, unless they are handed in again.
+    /// The scheduler won't start these tasks of a job unless the entry submits them again.
     Spare(name::Name, Spare),
-    /// Upstreams that were lost, and what may have been running there.
+    /// Lost upstreams, and the tasks that may have been running there.
     Lost(Vec<suspect::Loss>),
-    /// A message for an instance that the sender does not reach itself: who sent it, for whom.
+    /// A message that a third instance relays, as the sender does not reach its receiver: sender,
+    /// receiver and content.
     Relay(name::Name, name::Name, Box<Body>),
 }
 
-/// A job that an entry waits for from a scheduler.
+/// A job that an entry awaits from a scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Awaited {
     /// The job.
     pub job: name::Name,
-    /// Number of its last hand-over.
+    /// Number of its last handover.
     pub number: u64,
-    /// How many of its tasks the scheduler has, as far as the entry knows.
+    /// Number of its tasks that the scheduler has, as far as the entry knows.
     pub count: u32,
 }
 
 impl Heard {
-    /// Digest of the upstreams of a zone in it, where `own` is the receiver's zone.
+    /// Returns the digest of the upstreams of a zone in that heartbeat; `own` is the receiver's
+    /// zone.
     pub fn set(&self, zone: &name::Name, own: &name::Name) -> Option<u64> {
         if zone == own {
             return Some(self.upstreams);
@@ -66,7 +70,7 @@
 }
 
 impl Body {
-    /// Short name of the kind, for counting.
+    /// Short name of the message kind, for counters.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Ping(_) => "ping",
@@ -87,157 +91,160 @@
     }
 }
 
-/// A heartbeat: what the sender is and what it knows, in digests.
+/// A heartbeat: the sender's identity, and digests of what it knows.
 #[expect(clippy::struct_excessive_bools, reason = "independent facts, not states of one thing")]
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Ping {
     /// The sender.
     pub card: member::Card,
-    /// The sender's monotonic clock, microseconds.
+    /// The sender's monotonic clock, in microseconds.
     pub clock: u64,
-    /// Whether the sender has heard the receiver lately, on the direct way.
+    /// Whether the sender has recently received a heartbeat directly from the receiver.
     pub echo: bool,
-    /// The receiver's last heartbeat.
+    /// The receiver's last heartbeat that the sender received.
     pub heard: Option<Heard>,
     /// Digest of the upstreams of the sender's zone that it knows ([`crate::directory`]).
     pub upstreams: u64,
-    /// Whether it tells of something new and should not wait.
+    /// Whether it carries news that should not be delayed.
     pub urgent: bool,
     /// Whether the sender is shutting down.
     pub draining: bool,
-    /// Whether the sender hears the scheduler of its zone.
+    /// Whether the sender receives heartbeats of its zone's scheduler.
     pub led: bool,
-    /// Schedulers of the zones, as far as the sender knows.
+    /// Claims of the zones' schedulers, as far as the sender knows.
     pub claims: Vec<claim::Claim>,
-    /// Version of the configuration in force at the sender; 0 without one.
+    /// Version of the sender's active configuration; 0 without one.
     pub version: u64,
     /// The evacuated zones, as far as the sender knows.
     pub evacuations: evacuation::Evacuations,
     /// Digest of all instances that the sender knows.
     pub members: u64,
-    /// Digest of the upstreams of the receiver's zone, if the sender holds these.
+    /// Digest of the upstreams of the receiver's zone, if the sender keeps their records.
     pub records: Option<u64>,
-    /// Room that is free in its own zone, if it schedules that.
+    /// Free capacity of the sender's own zone, if it schedules that zone.
     pub load: Option<Load>,
-    /// Other zones that the sender schedules.
+    /// Other zones that the sender schedules, besides its own.
     pub adopted: Adopted,
-    /// Whether scheduling its zone would take more of the sender's processor time than it has.
+    /// Whether scheduling its zone would take more CPU time than the sender has.
     pub weak: bool,
-    /// Whether the sender wants to hear the receiver, which answers then.
+    /// Whether the sender watches the receiver, which then sends heartbeats in return.
     pub chosen: bool,
-    /// Digests of the names of some instances that the sender ought to hear and does not.
+    /// Hashes of the names of some instances that the sender should receive heartbeats from, but
+    /// doesn't.
     pub lacks: Vec<u32>,
 }
 
-/// What the sender of a heartbeat has heard last of its receiver.
+/// Facts from the last heartbeat that the sender of this one received from its receiver.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heard {
     /// The receiver's incarnation.
     pub life: u64,
-    /// The receiver's monotonic clock in that heartbeat, microseconds.
+    /// The receiver's monotonic clock in that heartbeat, in microseconds.
     pub clock: u64,
-    /// The sender's monotonic clock when it read it, microseconds.
+    /// The sender's monotonic clock when it read that heartbeat, in microseconds.
     pub at: u64,
-    /// Digest of the upstreams of the receiver's zone in it.
+    /// Digest of the upstreams of the receiver's zone in that heartbeat.
     pub upstreams: u64,
-    /// The same of other zones that the receiver schedules.
+    /// The same digests for the other zones that the receiver schedules.
     pub adopted: smallvec::SmallVec<[(name::Name, u64); 1]>,
 }
 
 /// Zones that an instance schedules besides its own.
 pub type Adopted = smallvec::SmallVec<[AdoptedZone; 1]>;
 
-/// A zone that an instance of another one schedules.
+/// A zone that an instance of another zone schedules.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct AdoptedZone {
     /// The zone.
     pub zone: name::Name,
-    /// Digest of its upstreams that the scheduler knows.
+    /// Digest of its upstreams as known to the scheduler.
     pub upstreams: u64,
-    /// Room that is free at them.
+    /// Free capacity of these upstreams.
     pub load: Load,
 }
 
-/// How an entry hands a job over, and what it knows of its past.
+/// How an entry hands a job over to a scheduler, with what it knows of earlier handovers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Handover {
-    /// Rises with each hand-over of the entry, over its restarts as well.
+    /// Number that rises with each handover of the entry, also across its restarts.
     pub number: u64,
-    /// The tasks that the receiver has to run.
+    /// The tasks that the receiver is to run.
     pub share: share::Share,
-    /// Whether those that cannot start at once are to be given back.
+    /// Whether the receiver is to return the tasks that cannot start at once.
     pub offer: bool,
     /// Whether other tasks of the job may have begun elsewhere.
     pub begun: bool,
-    /// Digest of its zone's upstreams that the receiver told last.
+    /// Digest of its zone's upstreams that the receiver last reported.
     pub upstreams: u64,
-    /// Digests that the schedulers which had these tasks before told last: they run at upstreams of
-    /// these sets only.
+    /// Last reported digests of the schedulers that had these tasks before: the tasks run only at
+    /// upstreams of these sets.
     pub former: smallvec::SmallVec<[u64; 2]>,
-    /// Time since one of them was last told that the entry waits, milliseconds.
+    /// Time since the entry last told one of these schedulers that it waits, in milliseconds.
     pub parted: u64,
 }
 
-/// How what a scheduler had of a job ended.
+/// The outcome of the tasks of a job that a scheduler had.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Ruling {
-    /// Number of the last hand-over that it had.
+    /// Number of the last handover that the scheduler received.
     pub number: u64,
-    /// The tasks that it had.
+    /// The tasks that the scheduler had.
     pub share: share::Share,
-    /// How they ended.
+    /// Their outcome.
     pub verdict: job::Verdict,
 }
 
-/// Tasks that a scheduler gives back.
+/// Tasks that a scheduler returns to the entry.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Spare {
-    /// Number of the last hand-over that it had.
+    /// Number of the last handover that the scheduler received.
     pub number: u64,
-    /// The tasks.
+    /// The returned tasks.
     pub tasks: share::Tasks,
-    /// Room at its upstreams.
+    /// Free capacity of the scheduler's upstreams.
     pub load: Load,
-    /// Whether it may have started one of them, which does not run any more.
+    /// Whether the scheduler may have started one of them, which no longer runs.
     pub begun: bool,
 }
 
-/// How full the upstreams of a zone are.
+/// Free and total capacity of the upstreams of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Load {
-    /// Free cores of upstreams that take work, thousandths; what waits is taken off.
+    /// Free capacity of upstreams that accept tasks, in thousandths of a core, less the demand of
+    /// waiting tasks.
     pub free: i64,
-    /// All cores of upstreams that take work, thousandths.
+    /// Total capacity of upstreams that accept tasks, in thousandths of a core.
     pub total: i64,
 }
 
 /// A configuration as the operator wrote it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Document {
-    /// Its version, by the operator.
+    /// Its version, assigned by the operator.
     pub version: u64,
-    /// Its text, packed by [`crate::compression`]; nothing here reads it.
+    /// Its text, compressed by [`crate::compression`]; this crate does not parse it.
     pub body: bytes::Bytes,
 }
 
-/// Asks for a part of a version, from a byte on.
+/// A request for a part of the configuration, starting at a byte offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Ask {
     /// Version of the configuration.
     pub version: u64,
-    /// First byte that is wanted.
+    /// Offset of the first requested byte.
     pub offset: u64,
 }
 
-/// A part of a packed configuration.
+/// A part of a compressed configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Part {
-    /// Version of the configuration; a newer one than was asked for begins at its first byte.
+    /// Version of the configuration; a version newer than the requested one starts at its first
+    /// byte.
     pub version: u64,
-    /// Size of the whole, bytes.
+    /// Size of the whole compressed configuration, in bytes.
     pub size: u64,
-    /// Where the part begins.
+    /// Offset of the part.
     pub offset: u64,
-    /// The part.
+    /// Content of the part.
     pub bytes: bytes::Bytes,
 }
--- a/crates/dispatch/src/peer.rs
+++ b/crates/dispatch/src/peer.rs
@@ -1,63 +1,64 @@
-//! What an instance knows of another one, and how old its word is.
+//! What an instance knows of another one, and how old that knowledge is.
 
 use state::name;
 
 use crate::{member, message, redial, time};
 
-/// An instance that was silent this long is taken for lost, microseconds. It has to be well below
-/// the time after which a client submits a job again (1,300 ms), less a lease.
+/// An instance counts as lost after it was silent for this long, in microseconds. It has to be well
+/// below the time after which a client submits a job again (1,300 ms), less the lease duration.
 pub const SILENT: u64 = 500 * time::MS;
-/// An instance that was not heard for this long is forgotten, microseconds: longer than any
-/// outage that ends with the instance coming back at its address.
+/// An instance is forgotten after it was silent for this long, in microseconds: longer than any
+/// outage after which the instance comes back at the same address.
 pub(crate) const FORGET: u64 = 30_000 * time::MS;
 
-/// What is known of another instance.
+/// State of another instance, as this one knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
-    /// How it introduced itself.
+    /// Its identity, as it reported it.
     pub card: Option<member::Card>,
     /// Its last heartbeat.
     pub ping: Option<message::Ping>,
     pub(crate) heard: u64,
     pub(crate) direct: u64,
     pub(crate) echoed: u64,
-    /// When lists of instances and of upstreams were last sent to it.
+    /// When the list of instances was last sent to it.
     pub(crate) synced: Option<u64>,
+    /// When the list of upstreams was last sent to it.
     pub(crate) listed: Option<u64>,
     pub(crate) since: u64,
-    /// When its last heartbeat was read.
+    /// When this instance read its last heartbeat.
     pub(crate) read: u64,
     pub(crate) ahead: Option<Ahead>,
-    /// Since when it is heard directly without a break.
+    /// Start of the current unbroken period of direct heartbeats from it.
     pub(crate) met: u64,
-    /// When a heartbeat said last that it chooses this instance.
+    /// When its heartbeat last said that it watches this instance.
     pub(crate) chosen: u64,
-    /// Since when heartbeats go to it without a break.
+    /// Start of the current unbroken period of heartbeats to it.
     pub(crate) due: Option<u64>,
-    /// Whether these only answer its own.
+    /// Whether these heartbeats only answer its own.
     pub(crate) answers: bool,
-    /// Whether one of the two ought to hear the other.
+    /// Whether one of the two instances watches the other by the rules of the watch list.
     pub(crate) ought: bool,
-    /// Through whom it was heard last without being heard directly, and when.
+    /// The instance that last relayed a message of it, while no direct ones came, and when.
     pub(crate) via: Option<(name::Name, u64)>,
     pub(crate) stream: redial::Stream,
 }
 
-/// How far the clock of another instance is ahead of this one's at most, microseconds: it read a
-/// heartbeat of this instance at some time of its own, and that was sent before. This bound holds
-/// however late messages are; what they wait only makes it wider.
+/// Upper bound of how far the clock of another instance is ahead of this one's, in microseconds.
+/// The other instance read a heartbeat of this one at some time of its own clock, and this one sent
+/// it before that. The bound holds however late messages are; a delay only makes it wider.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ahead {
-    by: i64,
+    offset: i64,
     at: u64,
 }
 
 impl Peer {
-    /// When the stream to it was answered last, if it should be.
+    /// When the last answer came on the stream to it, if answers are expected.
     pub(crate) fn answered(&self, now: u64) -> Option<u64> {
-        // Who no longer wants an answer says nothing, either.
-        let lately = if self.answers { SILENT } else { FORGET };
-        let spoke = self.direct > 0 && now < self.direct + lately;
+        // An instance that no longer watches this one sends no heartbeats, either.
+        let recent = if self.answers { SILENT } else { FORGET };
+        let spoke = self.direct > 0 && now < self.direct + recent;
         let due = self.due.filter(|_| spoke)?;
         Some(self.echoed.max(due).max(self.since))
     }
@@ -71,18 +72,18 @@
         self.is_direct(now) || relayed
     }
 
-    /// Bounds its clock by a heartbeat of this instance that it has read, and by what it shows
-    /// itself.
+    /// Bounds its clock by a heartbeat of this instance that it has read, and by the time that its
+    /// own clock shows.
     pub(crate) fn compare(&mut self, proof: Option<&message::Heard>, clock: u64, now: u64) {
-        // It is further ahead than it can be: this instance's clock stood still unnoticed.
+        // Its clock is beyond the bound: this instance's clock was stopped without being noticed.
         if self.ahead.is_some_and(|ahead| clock > ahead.clock(now)) {
             self.ahead = None;
         }
         let Some(heard) = proof else { return };
-        let ahead = Ahead { by: heard.at as i64 - heard.clock as i64, at: heard.clock };
-        let closer = self.ahead.is_none_or(|held| ahead.clock(now) < held.clock(now));
-        if closer && clock <= ahead.clock(now) {
-            self.ahead = Some(ahead);
+        let bound = Ahead { offset: heard.at as i64 - heard.clock as i64, at: heard.clock };
+        let tighter = self.ahead.is_none_or(|held| bound.clock(now) < held.clock(now));
+        if tighter && clock <= bound.clock(now) {
+            self.ahead = Some(bound);
         }
     }
 
@@ -92,9 +93,9 @@
 }
 
 impl Ahead {
-    /// What the other clock shows at most.
+    /// Returns the latest time that the other clock can show.
     pub(crate) fn clock(&self, now: u64) -> u64 {
-        let since = now.saturating_sub(self.at);
-        (now + since * time::SLOW_CLOCK / 1_000).saturating_add_signed(self.by)
+        let elapsed = now.saturating_sub(self.at);
+        (now + elapsed * time::SLOW_CLOCK / 1_000).saturating_add_signed(self.offset)
     }
 }
--- a/crates/dispatch/src/redial.rs
+++ b/crates/dispatch/src/redial.rs
@@ -1,91 +1,94 @@
-//! How often streams are dialled anew.
+//! Limits how often an instance reconnects its streams.
 //!
-//! A stream that carries nothing any more and one whose other end is late look alike. Dialling the
-//! first anew is all that helps; dialling the second loses what is on its way and costs both ends
-//! time that they lack, so that the next answer is later still. So dials are few. Each one that is
-//! answered soon allows more, unless answers came lately on streams that were not dialled: dead
-//! streams do not come back by themselves.
+//! A dead stream and a stream to a late instance look the same. Only a reconnect repairs a dead
+//! stream. Reconnecting to a late instance loses the messages in transit and costs both ends time
+//! that they lack, so that the next answer is later still. The number of reconnects is therefore
+//! small. Each one that is answered soon allows more, unless answers recently came after a delay on
+//! streams that were not reconnected: dead streams do not recover by themselves.
 
 use crate::time;
 
-/// A stream without an answer is dialled anew after this, microseconds.
-const SILENT: u64 = 700 * time::MS;
-/// After this where at least half of an instance's streams are without one, microseconds: it is late
-/// itself, or all others are. Heartbeats that are a second late are echoed as long again after.
-const ALL_SILENT: u64 = 1_200 * time::MS;
-/// The pause doubles so many times at most: 11 s, well below the time after which an instance is
-/// forgotten (30 s).
-const DOUBLINGS: u32 = 4;
-/// An answer within this time shows that the former stream was dead, microseconds: a heartbeat
-/// there and one back (150 ms each) on a new connection.
-const SOON: u64 = 500 * time::MS;
-/// Dials that an instance has at the start, and never more but by answers: the keepers of two other
-/// zones.
-const FIRST: u32 = 4;
-/// Dials for each that is answered soon: the hundred streams of a hub take three rounds.
-const MORE: u32 = 4;
-/// Most dials at a time.
-const MOST: u32 = 32;
-/// An instance without any gets one after this, microseconds.
-const REFILL: u64 = 1_000 * time::MS;
-/// An answer after this, on a stream that was not dialled, shows that others are late, not gone,
-/// microseconds: three heartbeats have not come before it.
-const GAP: u64 = 450 * time::MS;
-/// It shows so for this long, microseconds.
-const LATE: u64 = 5_000 * time::MS;
+/// A stream without an answer is reconnected after this time, in microseconds.
+const RETRY_AFTER: u64 = 700 * time::MS;
+/// The same time while at least half of an instance's streams have no answer, in microseconds: the
+/// instance itself is late, or all others are. Heartbeats that are a second late get their echo
+/// another second later.
+const RETRY_LATE: u64 = 1_200 * time::MS;
+/// Maximum number of times that the delay doubles: up to 11 s, well below the time after which an
+/// instance is forgotten (30 s).
+const MAX_DOUBLINGS: u32 = 4;
+/// An answer within this time of a reconnect shows that the former stream was dead, in
+/// microseconds: a heartbeat in each direction (150 ms each) on a new connection.
+const PROMPT_ANSWER: u64 = 500 * time::MS;
+/// Reconnects that an instance may make at the start, and its maximum unless answers earn more:
+/// enough for the keepers of two other zones.
+const INITIAL: u32 = 4;
+/// Reconnects earned by each one that is answered soon: the hundred streams of a hub take three
+/// rounds.
+const EARNED: u32 = 4;
+/// Maximum number of reconnects that the budget holds.
+const MAX_BUDGET: u32 = 32;
+/// Interval at which the budget gains one reconnect, in microseconds.
+const REFILL_INTERVAL: u64 = 1_000 * time::MS;
+/// An answer after a silence of this length, on a stream that was not reconnected, shows that other
+/// instances are late, not gone, in microseconds: three heartbeats before it did not come.
+const LATE_GAP: u64 = 450 * time::MS;
+/// Such an answer counts for this long, in microseconds.
+const LATE_PERIOD: u64 = 5_000 * time::MS;
 
-/// The dials of one stream.
+/// The reconnects of one stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stream {
     last: u64,
-    times: u32,
+    retries: u32,
 }
 
-/// Whether a stream that was answered last at `answered` is silent.
+/// Whether a stream whose last answer came at `answered` is silent.
 pub fn is_silent(answered: u64, now: u64) -> bool {
-    now >= answered + SILENT
+    now >= answered + RETRY_AFTER
 }
 
 impl Stream {
-    /// Whether the stream is to be dialled anew: an answer came last at `answered`. `most` says that
-    /// many streams are silent; `salt` sets it apart from others that fell silent at the same time.
+    /// Whether the stream is due for a reconnect. Its last answer came at `answered`; `most` says
+    /// that at least half of the streams are silent. `salt` spreads the reconnects of streams that
+    /// fell silent at the same time.
     pub fn is_due(self, answered: u64, most: bool, salt: u32, now: u64) -> bool {
-        let pause = if most { ALL_SILENT } else { SILENT } << self.times;
-        let spread = u64::from(salt.rotate_left(self.times)) % (pause / 2);
-        now >= answered.max(self.last) + pause + spread
+        let delay = if most { RETRY_LATE } else { RETRY_AFTER } << self.retries;
+        let jitter = u64::from(salt.rotate_left(self.retries)) % (delay / 2);
+        now >= answered.max(self.last) + delay + jitter
     }
 }
 
-/// The dials that an instance may make.
+/// Budget for the reconnects of an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     left: u32,
     refilled: u64,
-    late: u64,
+    late_until: u64,
     count: u64,
 }
 
 impl Budget {
-    /// The budget of an instance that starts.
+    /// Creates the budget of an instance that starts.
     pub fn new(now: u64) -> Self {
-        Self { left: FIRST, refilled: now, late: 0, count: 0 }
+        Self { left: INITIAL, refilled: now, late_until: 0, count: 0 }
     }
 
-    /// Dials so far.
+    /// Number of reconnects so far.
     pub fn count(self) -> u64 {
         self.count
     }
 
-    /// Lets time pass.
+    /// Adds a reconnect if the refill interval has passed.
     pub fn refill(&mut self, now: u64) {
-        if now >= self.refilled + REFILL {
+        if now >= self.refilled + REFILL_INTERVAL {
             self.refilled = now;
-            // What an answer allowed is not saved up.
-            self.left = (self.left + 1).min(FIRST);
+            // The budget does not keep what answers earned beyond its initial size.
+            self.left = (self.left + 1).min(INITIAL);
         }
     }
 
-    /// Takes a dial, if one is left.
+    /// Takes a reconnect for this stream from the budget, if one is left.
     pub fn spend(&mut self, stream: &mut Stream, now: u64) -> bool {
         if self.left == 0 {
             return false;
@@ -93,19 +96,20 @@
         self.left -= 1;
         self.count += 1;
         stream.last = now;
-        stream.times = (stream.times + 1).min(DOUBLINGS);
+        stream.retries = (stream.retries + 1).min(MAX_DOUBLINGS);
         true
     }
 
-    /// Notes that an answer came on a stream, where the one before came at `former`.
+    /// Handles an answer on a stream, whose previous answer came at `former`.
     pub fn answered(&mut self, stream: &mut Stream, former: u64, now: u64) {
-        let gap = former > 0 && now >= former + GAP;
-        if gap && stream.times == 0 {
-            self.late = now + LATE;
-            self.left = self.left.min(FIRST);
-        } else if stream.times > 0 && now < stream.last + SOON && now >= self.late {
-            self.left = (self.left + MORE).min(MOST);
+        let delayed = former > 0 && now >= former + LATE_GAP;
+        if delayed && stream.retries == 0 {
+            self.late_until = now + LATE_PERIOD;
+            self.left = self.left.min(INITIAL);
+        } else if stream.retries > 0 && now < stream.last + PROMPT_ANSWER && now >= self.late_until
+        {
+            self.left = (self.left + EARNED).min(MAX_BUDGET);
         }
-        stream.times = 0;
+        stream.retries = 0;
     }
 }
--- a/crates/dispatch/src/relay.rs
+++ b/crates/dispatch/src/relay.rs
@@ -1,4 +1,4 @@
-//! Through whom an instance is reached that is not heard directly.
+//! Relaying of messages to instances whose direct connection is silent.
 
 use state::name;
 
@@ -9,26 +9,28 @@
     peer::SILENT,
 };
 
-/// Messages to an instance that does not echo go through a third one after this, microseconds: its
-/// first echo takes two heartbeats.
-const RELAY: u64 = 2 * PING;
-/// Instances that a heartbeat names as not heard: more than are lost at a time but with their zone.
-const LACKS: usize = 16;
+/// Messages to an instance that does not echo heartbeats are relayed after this time, in
+/// microseconds: its first echo takes two heartbeats.
+const RELAY_AFTER: u64 = 2 * PING;
+/// Maximum number of silent instances that a heartbeat names: more than are lost at a time, unless
+/// their whole zone is lost.
+const MAX_LACKS: usize = 16;
 
 impl Membership {
-    /// Notes that a message of an instance came through a third one.
+    /// Records that the instance `via` relayed a message of `name`.
     pub fn came(&mut self, name: &name::Name, via: &name::Name, now: u64) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.via = Some((via.clone(), now));
         }
     }
 
-    /// Through whom a heartbeat goes as well, as the direct way is silent: the one that the
-    /// instance was heard through, or one that ought to hear it and does not say that it lacks it.
+    /// Returns the relay for an additional copy of a heartbeat while the direct connection is
+    /// silent: the instance that last relayed a message of `name`, or one that exchanges heartbeats
+    /// with `name` and does not report it as silent.
     pub fn relay(&self, name: &name::Name, now: u64) -> Option<&name::Name> {
         let peer = self.peers.get(name)?;
-        let awaited = peer.ought || peer.heard > 0 && now < peer.heard + SILENT;
-        if peer.is_direct(now) || !awaited || now < peer.met.max(peer.since) + RELAY {
+        let expected = peer.ought || peer.heard > 0 && now < peer.heard + SILENT;
+        if peer.is_direct(now) || !expected || now < peer.met.max(peer.since) + RELAY_AFTER {
             return None;
         }
         if let Some((via, at)) = &peer.via
@@ -46,19 +48,20 @@
             !lacks && other.is_direct(now) && other.card.as_ref().is_some_and(ought)
         };
         let able = self.peers.iter().filter(able).map(|(name, _)| name);
-        // Others take another one.
+        // The key depends on the receiver's name, so that the load spreads over several relays.
         able.min_by_key(|other| short(other) ^ hash)
     }
 
-    /// Through whom a message goes instead of the direct way, to an instance that is alive.
+    /// Returns the relay for a message that replaces the direct connection to a live instance.
     pub fn detour(&self, name: &name::Name, now: u64) -> Option<&name::Name> {
         let heard = self.peers.get(name).is_some_and(|p| p.heard > 0 && now < p.heard + SILENT);
         if heard { self.relay(name, now) } else { None }
     }
 
-    /// Digests of the names of some instances that this one ought to hear and does not.
+    /// Hashes of the names of some instances that this one should receive heartbeats from, but
+    /// doesn't.
     pub fn lacks(&self, now: u64) -> Vec<u32> {
         let lacking = self.peers.iter().filter(|(_, peer)| peer.ought && !peer.is_direct(now));
-        lacking.take(LACKS).map(|(name, _)| short(name)).collect()
+        lacking.take(MAX_LACKS).map(|(name, _)| short(name)).collect()
     }
 }
--- a/crates/dispatch/src/routing.rs
+++ b/crates/dispatch/src/routing.rs
@@ -1,34 +1,35 @@
-//! Which service a client's request is for, as the configuration says.
+//! Routes requests of clients to services, as the configuration defines.
 
 use std::collections;
 
 use state::name;
 
-/// A queue of jobs that clients reach under a host and a path.
+/// A queue of jobs that clients address by host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Host that the request names.
+    /// Host of the request.
     pub host: name::Name,
-    /// What its path begins with.
+    /// Prefix of the request path.
     pub prefix: name::Name,
     /// Service whose upstreams run the jobs.
     pub service: name::Name,
-    /// Rank of the queue; 0 comes first.
+    /// Priority of the queue; 0 is the highest.
     pub priority: u32,
-    /// A task that failed this often fails its job.
+    /// Maximum number of attempts: a task that failed this often fails its job.
     pub attempts: u32,
-    /// The objective is this many times the longest chain of work ...
+    /// The latency objective is this many times the critical path of the job ...
     pub stretch: f64,
-    /// ... and this much more, milliseconds.
+    /// ... plus this time, in milliseconds.
     pub goal: u64,
-    /// Longest time for an answer, milliseconds; more than 0.
+    /// Maximum time for an answer, in milliseconds; more than 0.
     pub timeout: u64,
 }
 
 impl Route {
-    /// Time within which the answer to a job is worth most, milliseconds.
-    pub fn objective(&self, chain: u64) -> u64 {
-        (chain as f64 * self.stretch) as u64 + self.goal
+    /// Latency objective for a job, in milliseconds; `critical_path` is the length of its critical
+    /// path.
+    pub fn objective(&self, critical_path: u64) -> u64 {
+        (critical_path as f64 * self.stretch) as u64 + self.goal
     }
 }
 
@@ -37,28 +38,28 @@
 pub struct Routing {
     /// Version of the configuration; 0 for none.
     pub version: u64,
-    /// Services that there are.
+    /// Defined services.
     pub services: collections::BTreeSet<name::Name>,
-    /// Largest body of a request, bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
     hosts: collections::HashMap<name::Name, Host>,
 }
 
-/// The routes of one host. Of 4,200 routes a request takes as long to find its own as of one with as
-/// many lengths of prefixes.
+/// The routes of one host. The time of a lookup depends only on the number of distinct prefix
+/// lengths: with 4,200 routes it takes as long as with one route for each of these lengths.
 #[derive(Clone, Debug, Default)]
 struct Host {
     routes: collections::HashMap<name::Name, Route>,
-    /// Lengths of prefixes, bytes, the longest first.
+    /// Distinct prefix lengths in bytes, longest first.
     lengths: Vec<usize>,
 }
 
 impl Routing {
-    /// Checks routes against the services that there are.
+    /// Builds a routing table after checking the routes against the defined services.
     ///
     /// # Errors
     ///
-    /// The number of the first route at fault, the field and the reason.
+    /// Returns the index of the first invalid route, the invalid field and the reason.
     ///
     /// ```
     /// let routing = dispatch::routing::Routing::new(7, 1 << 18, Vec::new(), &[]).unwrap();
@@ -94,7 +95,7 @@
         Ok(Self { version, services, max_body, hosts })
     }
 
-    /// The route with the longest prefix of `path`, and the rest of the path.
+    /// Returns the route with the longest prefix of `path`, and the rest of the path.
     pub fn find<'a>(&self, host: &str, path: &'a str) -> Option<(&Route, &'a str)> {
         let host = self.hosts.get(host)?;
         host.lengths.iter().find_map(|length| {
@@ -115,13 +116,13 @@
     Prefix,
 }
 
-/// A route that cannot be taken.
+/// Error for an invalid route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Number of the route, from 0.
+    /// Index of the route, from 0.
     pub at: usize,
-    /// The field at fault.
+    /// The invalid field.
     pub field: Field,
-    /// What is wrong.
+    /// The reason.
     pub why: &'static str,
 }
--- a/crates/dispatch/src/status.rs
+++ b/crates/dispatch/src/status.rs
@@ -1,72 +1,72 @@
-//! How an instance stands, in numbers, for those who watch it.
+//! The figures of an instance for monitoring.
 
 use state::name;
 
 use crate::{core::Core, message, sched, session::Session, time, zone};
 
-/// How an instance stands.
+/// The figures of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
-    /// Whether it takes clients.
+    /// Whether it is ready to take requests of clients.
     pub ready: bool,
-    /// Jobs that clients wait for here.
+    /// Number of open jobs, for which clients wait at this instance.
     pub open: usize,
-    /// How many zones it schedules; what follows up to `silent` is 0 where it schedules none.
+    /// Number of zones that it schedules; the fields from here to `silent` are 0 if there are none.
     pub scheduling: usize,
-    /// Jobs that it schedules.
+    /// Number of jobs that it schedules.
     pub jobs: usize,
-    /// Tasks of these that wait for room.
+    /// Number of their tasks that wait for capacity.
     pub waiting: u64,
-    /// How long the oldest job with such a task has been there, seconds.
+    /// Time since the arrival of the oldest job with a waiting task, in seconds.
     pub oldest: f64,
-    /// Tasks that may be running.
+    /// Number of tasks that may be running.
     pub running: usize,
-    /// Cores that are free at upstreams that take work, less those that are waited for.
+    /// Free cores of upstreams that accept tasks, less the demand of waiting tasks.
     pub free: f64,
-    /// All cores of these.
+    /// Total cores of these upstreams.
     pub total: f64,
-    /// Upstreams of these zones.
+    /// Number of upstreams in the zones that it schedules.
     pub upstreams: usize,
-    /// Those that are ejected for what they did.
+    /// Number of these upstreams that are ejected for failed or hanging runs.
     pub ejected: usize,
-    /// Those that do not answer.
+    /// Number of these upstreams that do not answer.
     pub silent: usize,
-    /// Version of the configuration in force here.
+    /// Version of the active configuration.
     pub version: u64,
-    /// Zones that are evacuated, as far as is known here.
+    /// Number of evacuated zones that this instance knows of.
     pub evacuated: usize,
-    /// Revision of the set of these zones.
+    /// Revision of the set of evacuated zones.
     pub revision: u64,
-    /// Whether it leads the group that holds the configuration; what follows up to `behind` is 0
-    /// at instances without a disk.
+    /// Whether it leads the consensus group of the configuration; the fields from here to `behind`
+    /// are 0 at instances without a disk.
     pub leading: bool,
-    /// Term of that group.
+    /// Current term of that group.
     pub term: u64,
-    /// Voters of that group.
+    /// Number of voters in that group.
     pub voters: usize,
-    /// Log entries here that are not known to be committed.
+    /// Number of local log entries that are not known to be committed.
     pub behind: u64,
-    /// Other instances that are known.
+    /// Number of other instances that this one knows.
     pub known: usize,
-    /// Those that are heard.
+    /// Number of these instances that are alive.
     pub heard: usize,
-    /// Streams to them that were dialled anew.
+    /// Number of reconnects of streams to them.
     pub redials: u64,
 }
 
-/// How full a zone is that this instance schedules.
+/// Load of a zone that this instance schedules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Room {
     /// The zone.
     pub zone: name::Name,
-    /// Its cores, less those that are waited for.
+    /// Capacity of its upstreams, less the demand of waiting tasks.
     pub load: message::Load,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub waiting: u64,
 }
 
 impl Core {
-    /// How full the zones are that this instance schedules.
+    /// Returns the load of the zones that this instance schedules.
     pub fn rooms(&self, now: time::Now) -> Vec<Room> {
         let room = |(name, zone): (&name::Name, &zone::Zone)| {
             let sched = zone.sched.as_ref()?;
@@ -76,7 +76,7 @@
         self.zones.iter().filter_map(room).collect()
     }
 
-    /// How this instance stands.
+    /// Returns the figures of this instance.
     pub fn status(&self, now: time::Now) -> Status {
         let mut status = Status {
             ready: self.is_ready(now),
@@ -106,19 +106,20 @@
     }
 
     fn add_zone(status: &mut Status, sched: &sched::Sched, now: u64) {
-        const CORE: f64 = 1_000.0;
+        const CORE_UNITS: f64 = 1_000.0;
         let load = sched.load(now);
-        let waiting = || sched.jobs.values().filter(|active| active.waiting() > 0);
-        let oldest = waiting().map(|active| now.saturating_sub(active.arrived)).max();
+        let waiting_jobs = || sched.jobs.values().filter(|active| active.waiting() > 0);
+        let oldest = waiting_jobs().map(|active| now.saturating_sub(active.arrived)).max();
         let oldest = oldest.unwrap_or(0) as f64 / (1_000 * time::MS) as f64;
-        let count = |is: &dyn Fn(&&Session) -> bool| sched.sessions.values().filter(is).count();
+        let count =
+            |matches: &dyn Fn(&&Session) -> bool| sched.sessions.values().filter(matches).count();
         status.scheduling += 1;
         status.jobs += sched.jobs();
         status.waiting += sched.waiting();
         status.oldest = status.oldest.max(oldest);
         status.running += sched.sessions.values().map(|session| session.runs.len()).sum::<usize>();
-        status.free += load.free as f64 / CORE;
-        status.total += load.total as f64 / CORE;
+        status.free += load.free as f64 / CORE_UNITS;
+        status.total += load.total as f64 / CORE_UNITS;
         status.upstreams += sched.sessions.len();
         status.ejected += count(&|session| session.health.is_ejected(now));
         status.silent += count(&|session| session.silent.is_some());
--- a/crates/dispatch/src/time.rs
+++ b/crates/dispatch/src/time.rs
@@ -1,6 +1,7 @@
-//! Time as the decisions see it: passed in with each event, never read.
+//! Time as the decisions use it: the caller passes it in with each event, and no clock is read.
 
 pub use coord::time::{MS, Now};
 
-/// Steady clocks may be this much slower than others, thousandths: 20 by the rules of upstreams.
+/// Maximum rate by which a monotonic clock may be slower than another, in thousandths: the protocol
+/// of upstreams allows 20.
 pub(crate) const SLOW_CLOCK: u64 = 25;
--- a/crates/dispatch/src/upkeep.rs
+++ b/crates/dispatch/src/upkeep.rs
@@ -1,5 +1,5 @@
-//! What a scheduler does because time has passed: jobs that nobody waits for, leases that are
-//! over, runs that nobody wants.
+//! Periodic work of a scheduler: it drops abandoned and expired jobs, ends runs whose leases have
+//! expired, stops unwanted runs, and gives up upstreams that do not answer.
 
 use state::name;
 
@@ -13,21 +13,22 @@
     suspect, time, upstream,
 };
 
-/// A job that its entry has not asked for this long, by the stamp of its last question, is dropped:
-/// its cancelling was lost, or another scheduler has it. Longer than two questions of the entry
-/// (300 ms each) are apart, and short enough for its runs to be stopped before a client that lost
-/// its entry comes back (1,300 ms).
+/// The scheduler drops a job when the last query of its entry was sent this long ago, in
+/// microseconds: the cancellation was lost, or another scheduler has the job. This is longer than
+/// two query intervals of the entry (300 ms each), and short enough to stop the runs of the job
+/// before a client that lost its entry submits the job again (1,300 ms).
 pub(crate) const ABANDONED: u64 = 900 * time::MS;
-/// An unwanted run is told to stop again after this, microseconds.
-const STOP_AGAIN: u64 = 150 * time::MS;
-/// An upstream that never answers is given up after this, microseconds.
-const GIVE_UP: u64 = 12_000 * time::MS;
+/// Interval at which the scheduler repeats the stop order for an unwanted run, in microseconds.
+const STOP_INTERVAL: u64 = 150 * time::MS;
+/// The scheduler gives up an upstream that has not answered for this long, in microseconds.
+const GIVE_UP_AFTER: u64 = 12_000 * time::MS;
 
 impl Sched {
-    /// Drops jobs that no entry waits for, so that another scheduler may take them.
+    /// Drops jobs for which no entry waits, so that another scheduler may take them.
     pub(crate) fn drop_abandoned(&mut self, alive: &impl Fn(&name::Name) -> Option<u64>, now: u64) {
-        let abandoned = |active: &Active| {
-            // By when the question was asked: one that waited on its way says nothing of now.
+        let is_abandoned = |active: &Active| {
+            // The age of a query counts from when the entry sent it: a query that was delayed on
+            // its way does not show that the entry still waits.
             match alive(&active.entry) {
                 Some(clock) => {
                     clock >= active.stamp + ABANDONED || now >= active.awaited + ABANDONED
@@ -35,38 +36,39 @@
                 None => now >= active.awaited + peer::SILENT,
             }
         };
-        let gone = self.jobs.iter().filter(|(_, active)| abandoned(active));
-        for id in gone.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
+        let abandoned = self.jobs.iter().filter(|(_, active)| is_abandoned(active));
+        for id in abandoned.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             self.note("job: Dropped, its entry is not heard.", &id, "");
             self.drop_job(&id);
         }
     }
 
-    /// Ends jobs that can't be answered in time any more.
+    /// Ends jobs that can no longer be answered in time.
     pub(crate) fn expire(&mut self, now: u64) {
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         let policy = self.policy;
         let overloaded = policy.refuse_late && queue::is_overloaded(self.load(now));
-        let unwelcome = |active: &Active| {
+        let is_late = |active: &Active| {
             overloaded && queue::feasibility(active, now) == queue::Feasibility::Late
         };
         for (id, active) in &self.jobs {
             if now >= active.end() {
-                over.push((id.clone(), active.started));
+                expired.push((id.clone(), active.started));
             } else if !active.started
-                && (policy.refuse_hopeless && queue::is_hopeless(active, now) || unwelcome(active))
+                && (policy.refuse_hopeless && queue::is_hopeless(active, now) || is_late(active))
             {
-                over.push((id.clone(), false));
+                expired.push((id.clone(), false));
             }
         }
-        for (id, started) in over {
+        for (id, started) in expired {
             let refusal = Refusal::Overload(queue::retry_after(self.load(now)));
             let verdict = if started { Verdict::GaveUp } else { Verdict::NotRun(refusal) };
             self.finish(&id, verdict, now);
         }
     }
 
-    /// Counts runs as over where the last lease has run out and nobody can have renewed it.
+    /// Counts the runs of a silent upstream as ended once its last lease has expired and no
+    /// scheduler can have renewed it.
     pub(crate) fn lapse(&mut self, now: u64) {
         let mut lapsed = Vec::new();
         for (id, session) in &mut self.sessions {
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Marks runs that no entry has asked for in time as unwanted; placing tells them to stop.
+    /// Marks runs as unwanted if no entry has asked for them in time; the placement step sends the
+    /// stop orders.
     pub(crate) fn mark_orphans(&mut self, now: u64) {
         let due = |at: u64| now >= at;
         let orphans = self.orphans.iter().filter(|(_, at)| due(**at));
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Tells unwanted runs to stop, again where that did not help.
+    /// Sends stop orders for unwanted runs, and repeats them while a run goes on.
     pub(crate) fn send_stops(&mut self, now: u64) {
         for (id, session) in &mut self.sessions {
             if !session.owned || session.silent.is_some() {
@@ -107,7 +110,7 @@
             }
             let mut stops = Vec::new();
             for (task, run) in &mut session.runs {
-                let due = run.unwanted.is_some_and(|at| at == 0 || now >= at + STOP_AGAIN);
+                let due = run.unwanted.is_some_and(|at| at == 0 || now >= at + STOP_INTERVAL);
                 if due && run.stage != Stage::Starting {
                     run.unwanted = Some(now);
                     stops.push((task.clone(), run.attempt));
@@ -123,13 +126,13 @@
     }
 
     pub(crate) fn give_up_lost(&mut self, now: u64) {
-        let lost = |session: &Session| {
+        let is_lost = |session: &Session| {
             let since =
                 if session.owned { session.silent } else { Some(session.silent.unwrap_or(now)) };
-            since.is_some_and(|since| now >= since + GIVE_UP) && session.runs.is_empty()
+            since.is_some_and(|since| now >= since + GIVE_UP_AFTER) && session.runs.is_empty()
         };
         let lost =
-            self.sessions.iter().filter(|(_, session)| lost(session)).map(|(id, _)| id.clone());
+            self.sessions.iter().filter(|(_, session)| is_lost(session)).map(|(id, _)| id.clone());
         for id in lost.collect::<Vec<_>>() {
             self.note("upstream: Given up, it does not answer.", &id, "");
             self.out.gone.push((id.clone(), false));
--- a/crates/dispatch/src/view.rs
+++ b/crates/dispatch/src/view.rs
@@ -1,26 +1,27 @@
-//! What an entry goes by with its clients' jobs: who is alive, who schedules, what is known of upstreams.
+//! The state that an entry uses to decide about its clients' jobs: live instances, schedulers, and
+//! known upstreams.
 
 use state::name;
 
 use crate::{claim, evacuation, leadership, membership};
 
-/// What an entry goes by.
+/// The state that an entry uses to decide about its clients' jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
-    /// Who is alive.
+    /// Live instances.
     pub membership: &'a membership::Membership,
-    /// Who schedules.
+    /// Claims of the zones' schedulers.
     pub claims: &'a leadership::Claims,
-    /// Where nothing is started.
+    /// Zones where no task is started.
     pub evacuations: &'a evacuation::Evacuations,
-    /// Digest of the upstreams of its own zone that this instance knows.
+    /// Digest of the known upstreams of this instance's zone.
     pub upstreams: u64,
-    /// Time.
+    /// Current monotonic time, in microseconds.
     pub now: u64,
 }
 
 impl View<'_> {
-    /// Digest of its upstreams that the holder of a claim told last.
+    /// Digest of its upstreams that the holder of a claim last reported.
     pub(crate) fn told(&self, claim: &claim::Claim) -> Option<u64> {
         if claim.holder == self.membership.me().name {
             return Some(self.upstreams);
@@ -30,7 +31,7 @@
         heard.set(&claim.zone, zone).filter(|_| heard.life == claim.life)
     }
 
-    /// When the holder of a claim was last heard, microseconds.
+    /// Time of the last heartbeat from the holder of a claim, in microseconds.
     pub(crate) fn heard(&self, claim: &claim::Claim) -> Option<u64> {
         if claim.holder == self.membership.me().name {
             return Some(self.now);
@@ -43,13 +44,13 @@
         !self.evacuations.has(zone)
     }
 
-    /// Whether there is no zone where a task may be started.
+    /// Whether there are zones with a claim, but none where a task may be started.
     pub(crate) fn is_closed(&self) -> bool {
         let mut zones = self.claims.iter().map(|claim| &claim.zone).peekable();
         zones.peek().is_some() && !zones.any(|zone| self.is_open(zone))
     }
 
-    /// Whether a scheduler is heard that may start tasks.
+    /// Whether a scheduler that may start tasks is alive.
     pub(crate) fn is_led(&self) -> bool {
         let able = |claim: &claim::Claim| {
             self.is_open(&claim.zone) && self.membership.holds(claim, self.now)
--- a/crates/dispatch/src/watch_list.rs
+++ b/crates/dispatch/src/watch_list.rs
@@ -1,10 +1,11 @@
-//! Who ought to hear whom. It follows from the list of instances alone, which all of them share, so
-//! that each knows it of the others, too, and no heartbeat has to tell.
+//! Which instances exchange heartbeats. An instance watches another one if it needs the heartbeats
+//! of that instance. The rules depend only on the list of instances, which all instances share, so
+//! that each instance knows the watch lists of the others, too, and heartbeats need not carry them.
 //!
-//! Where instances are few everybody hears its zone and all keepers. Where they are many an entry
-//! hears the first two of its zone by rank, its hubs; what it pays does not depend on how many
-//! instances there are, and a keeper pays for its zone and the other keepers. docs/design/scale.md weighs
-//! this against other ways.
+//! In a small system every instance watches its zone and all keepers. In a large system an entry
+//! watches the first two instances of its zone by rank, its hubs: its cost does not depend on the
+//! number of instances. A keeper's cost depends on the size of its zone and the number of other
+//! keepers. docs/design/scale.md compares this with alternatives.
 
 use std::collections;
 
@@ -12,22 +13,24 @@
 
 use crate::{member, time};
 
-/// Up to so many other instances everybody hears its zone and all keepers; heartbeats then take
-/// under 1% of a core each.
-const FEW: usize = 16;
-/// The first of its zone by rank that an entry hears: one may be lost, or the way to it, and the
-/// other relays.
+/// Up to this number of other instances, every instance watches its zone and all keepers;
+/// heartbeats then take under 1% of a core for each instance.
+const SMALL_SYSTEM: usize = 16;
+/// Number of instances that an entry watches, the first of its zone by rank: if one of them or the
+/// connection to it is lost, the other one relays.
 pub const HUBS: usize = 2;
-/// The first of a zone that keepers hear, that hear its upstreams' news, and whom an entry hears
-/// while its zone has no scheduler: three may be lost with two keepers.
+/// Number of the first instances of a zone by rank that keepers watch, that receive the news of the
+/// zone's upstreams, and that an entry watches while its zone has no scheduler: if two of them are
+/// keepers, three may be lost.
 pub const FRONT: usize = 5;
-/// While there is no scheduler an entry hears so many more after each [`WIDEN`].
-const STEP: usize = 3;
-/// Heartbeats of those that were added have come by then, microseconds.
-const WIDEN: u64 = 300 * time::MS;
-/// An entry hears no more of its zone than this: with all of a hundred hearing one another a zone
-/// that has no scheduler would not get one.
-const WIDEST: usize = 14;
+/// While its zone has no scheduler, an entry watches this many more instances after each
+/// [`WIDEN_INTERVAL`].
+const WIDEN_STEP: usize = 3;
+/// Time by which heartbeats of the added instances have arrived, in microseconds.
+const WIDEN_INTERVAL: u64 = 300 * time::MS;
+/// Maximum number of instances of its zone that an entry watches: if all hundred instances of a
+/// zone watched one another, a zone without a scheduler would not get one.
+const MAX_WINDOW: usize = 14;
 
 /// The first instances of each zone by rank.
 #[derive(Clone, Debug, Default)]
@@ -37,7 +40,7 @@
 }
 
 impl WatchList {
-    /// What follows from these instances, of which there may be one for each address.
+    /// Builds the watch list from these instances, at most one for each address.
     pub fn new<'a>(cards: impl Iterator<Item = &'a member::Card>) -> Self {
         let mut zones: collections::BTreeMap<_, Vec<_>> = collections::BTreeMap::new();
         let mut count = 0;
@@ -47,29 +50,29 @@
         }
         let first = |mut zone: Vec<&member::Card>| {
             zone.sort_by_key(|card| card.rank());
-            zone.into_iter().take(WIDEST).map(|card| card.name.clone()).collect()
+            zone.into_iter().take(MAX_WINDOW).map(|card| card.name.clone()).collect()
         };
         let first = zones.into_iter().map(|(name, zone)| (name, first(zone))).collect();
-        Self { few: count <= FEW + 1, first }
+        Self { few: count <= SMALL_SYSTEM + 1, first }
     }
 
-    /// Whether everybody hears its zone and all keepers.
+    /// Whether every instance watches its zone and all keepers.
     pub fn is_few(&self) -> bool {
         self.few
     }
 
-    /// The first `count` of a zone by rank.
+    /// The first `count` instances of a zone by rank.
     pub fn first(&self, zone: &name::Name, count: usize) -> &[name::Name] {
         let first = self.first.get(zone).map_or(&[][..], Vec::as_slice);
         &first[..count.min(first.len())]
     }
 
-    /// Whether an instance is among the first `count` of its zone.
+    /// Whether an instance is among the first `count` of its zone by rank.
     pub fn is_first(&self, card: &member::Card, count: usize) -> bool {
         self.first(&card.zone, count).contains(&card.name)
     }
 
-    /// Whether `a` is to hear `b`, where `a` hears the first `window` of its zone.
+    /// Whether `a` watches `b`, where `a` watches the first `window` instances of its zone.
     pub fn hears(&self, a: &member::Card, b: &member::Card, window: usize) -> bool {
         let keeper = b.role == member::Role::Keeper;
         if self.few {
@@ -79,22 +82,22 @@
         both || a.zone == b.zone && self.is_first(b, window)
     }
 
-    /// Whether two instances ought to hear one another in any case: one of them is to hear the
-    /// other, which answers.
+    /// Whether two instances always exchange heartbeats: one of them watches the other, which
+    /// answers its heartbeats.
     pub fn ought(&self, a: &member::Card, b: &member::Card) -> bool {
         let window =
             |card: &member::Card| if card.role == member::Role::Keeper { FRONT } else { HUBS };
         self.hears(a, b, window(a)) || self.hears(b, a, window(b))
     }
 
-    /// Whether an instance hears of the upstreams of a zone without scheduling it.
+    /// Whether an instance receives the upstream records of a zone without scheduling that zone.
     pub fn is_told(&self, card: &member::Card, zone: &name::Name) -> bool {
         let first = card.zone == *zone && (self.few || self.is_first(card, FRONT));
         first || card.role == member::Role::Keeper
     }
 }
 
-/// How many of its zone an instance hears.
+/// Number of instances of its own zone that an instance watches.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     size: usize,
@@ -108,22 +111,25 @@
 }
 
 impl Window {
-    /// How many of its zone this instance hears.
+    /// Number of instances of its zone that this instance watches.
     pub fn size(self) -> usize {
         self.size
     }
 
-    /// Widens it while the zone has no scheduler since `early` at the earliest; one who has to know
-    /// the zone, as a keeper or its scheduler, hears [`FRONT`] in any case.
-    pub fn set(&mut self, knows: bool, led: bool, early: u64, now: u64) {
+    /// Updates the window: it widens while the zone has no scheduler, counted from `earliest` at
+    /// the earliest. An instance that `knows` the zone, as a keeper or its scheduler, always
+    /// watches [`FRONT`] instances.
+    pub fn set(&mut self, knows: bool, led: bool, earliest: u64, now: u64) {
         if knows || led {
             self.size = if knows { FRONT } else { HUBS };
             self.vacant = None;
             return;
         }
-        let vacant = *self.vacant.get_or_insert(now.max(early));
+        let vacant = *self.vacant.get_or_insert(now.max(earliest));
         self.size = match now.checked_sub(vacant) {
-            Some(time) => (FRONT + STEP * (time / WIDEN) as usize).min(WIDEST),
+            Some(elapsed) => {
+                (FRONT + WIDEN_STEP * (elapsed / WIDEN_INTERVAL) as usize).min(MAX_WINDOW)
+            }
             None => HUBS,
         };
     }
--- a/crates/dispatch/src/zone.rs
+++ b/crates/dispatch/src/zone.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the upstreams of one zone, and its scheduler if this instance is it.
+//! The upstreams of one zone that an instance knows, and the scheduler if this instance runs it.
 
 use std::collections;
 
@@ -6,24 +6,24 @@
 
 use crate::{directory, message, sched, upstream};
 
-/// One zone: a keeper knows all of them, an entry its own.
+/// State of one zone: a keeper keeps it for all zones, an entry for its own zone.
 #[derive(Debug, Default)]
 pub(crate) struct Zone {
     /// The upstreams of the zone.
     pub(crate) directory: directory::Directory,
-    /// Those of them that others gave up while something runs there.
+    /// Upstreams that other instances gave up while tasks of this instance run there.
     lingering: collections::BTreeSet<name::Name>,
     pub(crate) sched: Option<sched::Sched>,
-    /// Since when upstreams refuse this scheduler's token, and when the last of them did.
+    /// When upstreams began to refuse this scheduler's fencing token, and when one last refused it.
     pub(crate) outranked: Option<(u64, u64)>,
 }
 
 impl Zone {
-    /// Takes news of an upstream.
+    /// Applies a new record of an upstream.
     pub(crate) fn record(&mut self, record: &upstream::Record) {
         if record.phase == upstream::Phase::Gone {
-            // Of one that others gave up, and where this instance has something running, a successor
-            // has to know.
+            // Other instances gave this upstream up. While this scheduler has tasks running there,
+            // a successor has to know of the upstream.
             let last = record.serial == u64::MAX;
             if last || !self.is_busy(&record.id) {
                 self.directory.remove(&record.id, last);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Lets this instance schedule the zone, whose upstreams these are.
+    /// Starts to schedule the zone; `records` holds its upstreams.
     pub(crate) fn lead<'a>(
         &mut self,
         mut sched: sched::Sched,
@@ -54,13 +54,13 @@
         self.outranked = None;
     }
 
-    /// Schedules the zone no more.
+    /// Stops scheduling the zone.
     pub(crate) fn resign(&mut self) {
         self.outranked = None;
         self.sched = None;
     }
 
-    /// Takes upstreams that others gave up out of the directory once nothing runs there.
+    /// Removes upstreams that other instances gave up from the directory once no task runs there.
     pub(crate) fn drop_lingering(&mut self, is_gone: impl Fn(&name::Name) -> bool) {
         for id in std::mem::take(&mut self.lingering) {
             let gone = is_gone(&id);
@@ -72,12 +72,12 @@
         }
     }
 
-    /// How full its upstreams are, if this instance schedules it.
+    /// Load of its upstreams, if this instance schedules the zone.
     pub(crate) fn load(&self, now: u64) -> Option<message::Load> {
         self.sched.as_ref().map(|sched| sched.load(now))
     }
 
-    /// Whether this instance has something running at an upstream, as its scheduler.
+    /// Whether tasks that this instance scheduled are running at an upstream.
     fn is_busy(&self, id: &name::Name) -> bool {
         let session = self.sched.as_ref().and_then(|sched| sched.sessions.get(id));
         session.is_some_and(|session| !session.runs.is_empty())
