--- a/crates/dispatch/src/sched.rs
+++ b/crates/dispatch/src/sched.rs
@@ -14,43 +14,47 @@
     speed, suspect, time, upstream,
 };
 
-/// Runs that a former scheduler started for an entry may go on this long after the entry last told
-/// it that it waits, microseconds: the time after which it drops the job ([`upkeep::ABANDONED`],
-/// 900 ms, and a tick of 40 ms) and the lease that it renewed last (950 ms and 2.5% for clocks).
-/// Counted from the hand-over of each job: an entry may leave a scheduler long after the next claim.
+/// How long runs that a former scheduler started for an entry may continue after the entry last
+/// told that scheduler that it awaits the job, microseconds. It covers the time after which the
+/// scheduler drops the job ([`upkeep::ABANDONED`], 900 ms, and a tick of 40 ms) and the last lease
+/// that it renewed (950 ms, and 2.5% for clock differences). The time counts from the hand-over of
+/// each job, because an entry may leave a scheduler long after the next claim.
 pub(crate) const FORMER: u64 = 2_000 * time::MS;
-/// Ends of unknown jobs are kept this long, microseconds: their entries may hand them in again.
-const KEEP_ENDS: u64 = 3_000 * time::MS;
-/// Verdicts are kept this long, for entries that did not get them.
-const KEEP_VERDICTS: u64 = 4_000 * time::MS;
-/// Upstreams that did not answer yet, or the last time, are asked so many at a time. The next one is
-/// asked when one has answered or its time (50 ms) is over: a thousand at once would not get
-/// connections within it, and be asked again all at once.
-const PROBES: usize = 16;
-
-/// Numbers of calls follow the clock, with 256 for each microsecond: the bits above are free for years.
+/// How long the scheduler keeps the ends of runs of unknown jobs, microseconds: their entries may
+/// submit these jobs again.
+const END_RETENTION: u64 = 3_000 * time::MS;
+/// How long the scheduler keeps verdicts for entries that did not receive them, microseconds.
+const VERDICT_RETENTION: u64 = 4_000 * time::MS;
+/// How many upstreams that have not answered yet, or did not answer the last call, are probed at
+/// the same time. The scheduler probes the next one when one has answered or its timeout (50 ms) is
+/// over: a thousand probes at once would not get connections within that time, and the scheduler
+/// would then repeat them all at once.
+const MAX_PROBES: usize = 16;
+
+/// Position of the slot in a call number. Call numbers follow the clock, with 256 for each
+/// microsecond, so that the bits above stay free for years.
 const SLOT_SHIFT: u32 = 60;
 
-/// Effects of the last calls.
+/// Effects collected since the last [`Sched::take`].
 #[derive(Debug, Default)]
 pub struct Output {
     /// Calls to upstreams.
     pub calls: Vec<Call>,
-    /// How jobs ended, for entries.
+    /// Final states of jobs, for their entries: entry, job, ruling.
     pub verdicts: Vec<(name::Name, name::Name, message::Ruling)>,
-    /// Tasks that are given back, for entries.
+    /// Tasks that the scheduler returns to their entries: entry, job, tasks.
     pub spares: Vec<(name::Name, name::Name, message::Spare)>,
-    /// Upstreams that are gone; `true` if that life of them is over for good.
+    /// Upstreams that are gone; `true` if that incarnation has ended for good.
     pub gone: Vec<(name::Name, bool)>,
-    /// Upstreams that have seen a higher fencing token than any this scheduler used.
+    /// Upstreams that have seen a higher fencing token than any that this scheduler used.
     pub outranked: Vec<name::Name>,
-    /// Decisions worth a log line.
+    /// Decisions to be logged.
     pub notes: Vec<event::Note>,
-    /// Times for histograms.
+    /// Durations for histograms.
     pub measures: Vec<event::Measure>,
 }
 
-/// What a call was for, kept until its outcome is known.
+/// The purpose of a call, kept until its outcome is known.
 #[derive(Clone, Debug)]
 pub(crate) enum Sent {
     Hold,
@@ -67,18 +71,18 @@
     pub(crate) sent: collections::HashMap<u64, (name::Name, u64, Sent)>,
     pub(crate) ends: collections::HashMap<Task, (End, u64)>,
     pub(crate) orphans: collections::BTreeMap<Task, u64>,
-    /// Jobs that former schedulers had with upstreams of which not all may be known here.
+    /// Jobs that former schedulers had on upstreams of which this scheduler may not know all.
     pub(crate) unsure: collections::BTreeSet<name::Name>,
-    /// Up to which number each entry knows the upstreams.
+    /// The number in the directory up to which each entry knows the upstreams.
     pub(crate) known: collections::BTreeMap<name::Name, u64>,
     pub(crate) verdicts: collections::HashMap<name::Name, (message::Ruling, u64)>,
-    /// Jobs of which what cannot start at once is given back.
+    /// Jobs whose tasks are returned if they cannot start at once.
     pub(crate) offers: collections::BTreeSet<name::Name>,
     pub(crate) epoch: u64,
     pub(crate) since: u64,
     pub(crate) lease: u64,
     pub(crate) number: u64,
-    /// Upstreams without a hold under way.
+    /// Upstreams without a pending hold.
     pub(crate) unasked: collections::BTreeSet<name::Name>,
     pub(crate) dirty: bool,
     pub(crate) evacuated: bool,
@@ -90,7 +94,8 @@
 }
 
 impl Sched {
-    /// A scheduler that has claimed its zone with `epoch`. Leases are `lease` milliseconds long.
+    /// Creates the scheduler of a zone that was claimed with `epoch`. Leases are `lease`
+    /// milliseconds long.
     pub fn new(epoch: u64, lease: u64, now: u64) -> Self {
         Self {
             sessions: collections::BTreeMap::new(),
@@ -117,49 +122,51 @@
         }
     }
 
-    /// Lets it decide by `policy`.
+    /// Sets the scheduling policy.
     #[must_use]
     pub fn with_policy(self, policy: policy::Policy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Numbers its calls apart from those of the other schedulers of this instance.
+    /// Separates its call numbers from those of the other schedulers of this instance.
     #[must_use]
     pub fn with_slot(self, slot: u64) -> Self {
         Self { number: slot << SLOT_SHIFT | self.number, ..self }
     }
 
-    /// Whether a call of this number is its own.
+    /// Whether this scheduler awaits the outcome of the call with this number.
     pub fn expects(&self, number: u64) -> bool {
         self.sent.contains_key(&number)
     }
 
-    /// Takes the effects collected so far.
+    /// Returns the effects collected so far and clears them.
     pub fn take(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
 
-    /// Takes what it has found out about tasks and lost upstreams; the next placing goes by it.
+    /// Returns the findings about tasks and lost upstreams and clears them; the next placement
+    /// takes them into account.
     pub fn take_findings(&mut self) -> suspect::Findings {
         std::mem::take(&mut self.findings)
     }
 
-    /// Jobs under way.
+    /// The number of active jobs.
     pub fn jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The entry of a job under way.
+    /// The entry of an active job.
     pub fn entry(&self, job: &name::Name) -> Option<&name::Name> {
         self.jobs.get(job).map(|active| &active.entry)
     }
 
-    /// Tasks that wait for room.
+    /// The number of tasks that wait for room.
     pub fn waiting(&self) -> u64 {
         self.jobs.values().map(|active| u64::from(active.waiting())).sum()
     }
 
-    /// Room of the upstreams that take work, less what waits; none while the zone is evacuated.
+    /// The cores of the upstreams that accept tasks; the free ones are reduced by what the waiting
+    /// tasks need. No upstream counts while the zone is evacuated.
     pub fn load(&self, now: u64) -> message::Load {
         let open = self.sessions.values().filter(|session| !self.evacuated && session.is_open(now));
         let open = open.filter(|session| !session.health.is_ejected(now));
@@ -175,7 +182,7 @@
         load
     }
 
-    /// Takes news of an upstream of the zone.
+    /// Applies a new record of an upstream of the zone.
     pub fn record(&mut self, record: &upstream::Record) {
         let known = self.sessions.get_mut(&record.id);
         match (known, record.phase) {
@@ -199,14 +206,14 @@
         self.dirty = true;
     }
 
-    /// Notes the number of an upstream in the directory of this instance.
+    /// Sets the number of an upstream in the directory of this instance.
     pub fn number(&mut self, id: &name::Name, number: u64) {
         if let Some(session) = self.sessions.get_mut(id) {
             session.number = number;
         }
     }
 
-    /// An entry is known to know the upstreams up to a number.
+    /// Records that an entry knows the upstreams up to a number.
     pub fn learn(&mut self, entry: &name::Name, number: u64) {
         let known = self.known.entry(entry.clone()).or_default();
         if number > *known {
@@ -215,7 +222,7 @@
         }
     }
 
-    /// Forgets the sets of upstreams that are covered by what is known here.
+    /// Removes from each job the digests of those sets of upstreams that this scheduler knows.
     pub fn cover(&mut self, is_covered: impl Fn(u64) -> bool) {
         for id in std::mem::take(&mut self.unsure) {
             let Some(active) = self.jobs.get_mut(&id) else { continue };
@@ -228,21 +235,23 @@
         }
     }
 
-    /// Lets time pass. `alive` gives what the clocks of the entries that are heard show at most.
+    /// Handles everything that is due at `now`. `alive` returns the latest possible clock reading
+    /// of an entry from which messages arrive.
     pub fn tick(&mut self, alive: impl Fn(&name::Name) -> Option<u64>, now: u64) {
         self.drop_abandoned(&alive, now);
         self.expire(now);
         self.lapse(now);
         self.mark_orphans(now);
         self.give_up_lost(now);
-        self.ends.retain(|_, (_, at)| now < *at + KEEP_ENDS);
-        self.verdicts.retain(|_, (_, at)| now < *at + KEEP_VERDICTS);
+        self.ends.retain(|_, (_, at)| now < *at + END_RETENTION);
+        self.verdicts.retain(|_, (_, at)| now < *at + VERDICT_RETENTION);
         self.dirty = true;
     }
 
-    /// Starts what can be started and asks whom it is time to ask. `alive` gives what the
-    /// clocks of the entries that are heard show at most: a job that waited in buffers, here or on
-    /// the way, may have been handed to another scheduler since. `suspects` run apart.
+    /// Starts waiting tasks and sends the calls that are due to upstreams. `alive` returns the
+    /// latest possible clock reading of an entry from which messages arrive: a job that waited in
+    /// buffers, here or on the way, may have been handed to another scheduler since. Tasks in
+    /// `suspects` run apart from others.
     pub fn run(
         &mut self,
         alive: impl Fn(&name::Name) -> Option<u64>,
@@ -258,9 +267,9 @@
             }
             self.return_offers(now);
         }
-        let asked =
+        let pending =
             self.sessions.values().filter(|session| session.is_asked() && !session.is_heard());
-        let mut probes = PROBES.saturating_sub(asked.count());
+        let mut probes = MAX_PROBES.saturating_sub(pending.count());
         let pace = Pace { sessions: self.sessions.len(), call_timeout: self.call_timeout };
         for id in std::mem::take(&mut self.unasked) {
             let Some(session) = self.sessions.get_mut(&id) else { continue };
@@ -285,8 +294,8 @@
         }
     }
 
-    /// Takes all upstreams over again, above the token that some of them have seen: whoever used
-    /// it may have started anything anywhere.
+    /// Takes over all upstreams again, with a token above the one that some of them have seen: the
+    /// owner of that token may have started any task on any upstream.
     pub fn supersede(&mut self, epoch: u64, now: u64) {
         self.epoch = epoch;
         self.since = now;
@@ -302,9 +311,9 @@
         self.dirty = true;
     }
 
-    /// Another life of the upstream is at its address: nothing of the former one runs.
+    /// Handles a new incarnation of the upstream at its address: no run of the former one is left.
     pub(crate) fn replaced(&mut self, id: &name::Name) {
-        self.note("upstream: Replaced by another life.", id, "");
+        self.note("upstream: Replaced by a new incarnation.", id, "");
         self.out.gone.push((id.clone(), true));
         let ran = self
             .sessions
@@ -317,17 +326,17 @@
         }
     }
 
-    /// An upstream was lost while tasks may have been running there; all schedulers are told.
+    /// Reports to all schedulers the loss of an upstream on which tasks may have been running.
     pub(crate) fn lose(&mut self, loss: suspect::Loss) {
         if loss.tasks.is_empty() {
             return;
         }
         let detail = format!("{} tasks, proved {}", loss.tasks.len(), loss.proved);
-        self.note("upstream: Lost with what ran there.", &loss.upstream, &detail);
+        self.note("upstream: Lost while it ran tasks.", &loss.upstream, &detail);
         self.findings.losses.push(loss);
     }
 
-    /// Gives up the jobs of tasks that have too many lost upstreams behind them.
+    /// Fails the jobs of tasks that were running on too many lost upstreams.
     pub fn give_up(&mut self, tasks: &[Task], now: u64) {
         for task in tasks {
             if self.jobs.contains_key(&task.job) {
@@ -355,7 +364,7 @@
         }
     }
 
-    /// Marks a run as not wanted any more; it is told to stop.
+    /// Marks a run as no longer wanted; the scheduler then sends the order to stop it.
     pub(crate) fn mark_unwanted(&mut self, id: &name::Name, task: &Task) {
         if let Some(run) = self.sessions.get_mut(id).and_then(|session| session.runs.get_mut(task))
         {
@@ -364,7 +373,7 @@
         self.dirty = true;
     }
 
-    /// Ends a job if all its tasks are done.
+    /// Completes a job if all its tasks are done.
     pub(crate) fn settle(&mut self, id: &name::Name, now: u64) {
         if self.jobs.get(id).is_some_and(Active::is_complete) {
             self.finish(id, Verdict::Complete, now);
@@ -390,7 +399,7 @@
         self.drop_job(id);
     }
 
-    /// Tells an entry how a job ended, and remembers it.
+    /// Sends a job's verdict to its entry, and keeps the verdict.
     pub(crate) fn rule(
         &mut self,
         entry: &name::Name,
--- a/crates/dispatch/src/scheduling.rs
+++ b/crates/dispatch/src/scheduling.rs
@@ -1,4 +1,5 @@
-//! The zones that an instance schedules: claims, what their schedulers decide, and whom it tells.
+//! The zones that an instance schedules: claims, the effects of their schedulers, and the messages
+//! about them to other instances.
 
 use std::collections;
 
@@ -15,19 +16,19 @@
     upstream,
 };
 
-/// A scheduler whose token is refused waits this long, and a turn for each instance of its zone
-/// that ranks before it, for word of the claim that goes above its own, microseconds. Upstreams
-/// tell of it before the claimant does where the latter's messages wait, and two schedulers that each
-/// went above the other would stop the zone.
-const HEAR: u64 = 250 * MS;
+/// How long a scheduler whose token is refused waits for the message with the claim above its own,
+/// plus one turn for each instance of its zone that ranks before it, microseconds. Upstreams report
+/// the higher token before the claimant does where the messages of the claimant are delayed, and
+/// two schedulers that each claimed above the other would stop the zone.
+const CLAIM_WAIT: u64 = 250 * MS;
 
-/// Processor time that a scheduler takes for each upstream, thousandths of a core: keepers that schedule
-/// 108 busy ones (870 starts a second) take 97 to 125 in all.
-const SCHEDULING: u64 = 1;
+/// Processor time that a scheduler takes for each upstream, thousandths of a core: keepers that
+/// schedule 108 busy ones (870 starts a second) take 97 to 125 in all.
+const CPU_PER_UPSTREAM: u64 = 1;
 
-/// Share of its processor time that an instance has for scheduling, per cent: an entry has clients of its
-/// own.
-const SPARE: u64 = 50;
+/// Share of its processor time that an instance has for scheduling, percent: an entry also serves
+/// its own clients.
+const CPU_PERCENT: u64 = 50;
 
 impl Core {
     /// Whether this instance schedules its zone.
@@ -54,7 +55,7 @@
         self.zones.values_mut().filter_map(|zone| zone.sched.as_mut())
     }
 
-    /// Claims what it is this instance's turn to schedule.
+    /// Claims each zone for which it is this instance's turn.
     pub(crate) fn campaign(&mut self, now: Now) {
         let home = self.membership.me().zone.clone();
         let candidate = leadership::Candidate {
@@ -77,16 +78,16 @@
         }
     }
 
-    /// Whether it knows an upstream of its zone.
+    /// Whether this instance knows an upstream of its zone.
     fn knows_upstreams(&self) -> bool {
         self.zones.get(&self.membership.me().zone).is_some_and(|zone| !zone.directory.is_empty())
     }
 
-    /// Whether scheduling its zone would take more processor time than it has to spare.
+    /// Whether scheduling its zone would take more processor time than this instance has for it.
     pub(crate) fn is_weak(&self) -> bool {
         let zone = self.zones.get(&self.membership.me().zone);
         let upstreams = zone.map_or(0, |zone| zone.directory.len() as u64);
-        upstreams * SCHEDULING > self.cores * SPARE / 100
+        upstreams * CPU_PER_UPSTREAM > self.cores * CPU_PERCENT / 100
     }
 
     /// Stops scheduling where another instance has the higher claim.
@@ -113,13 +114,13 @@
         let mut sched = sched::Sched::new(claim.epoch, self.lease, now.mono)
             .with_slot(self.scheduled_zones().len() as u64)
             .with_policy(self.policy);
-        // What this instance knows it tells itself at once.
+        // This instance's entry knows at once every upstream that its scheduler knows.
         sched.learn(&claim.holder, u64::MAX - 1);
         let zone = self.zones.entry(claim.zone.clone()).or_default();
         zone.lead(sched, self.table.of_zone(&claim.zone));
         let detail = format!("{}, epoch {}", claim.zone, claim.epoch);
         self.note("zone: Scheduling.", &claim.holder, detail);
-        // The others are told at once, so that entries hand their jobs in again.
+        // The heartbeats go out at once, so that entries submit their jobs again.
         self.beat_all(now);
         self.beat_zone(&claim.zone, now);
     }
@@ -131,13 +132,13 @@
         }
     }
 
-    /// Takes what a scheduler has found out about tasks and lost upstreams.
+    /// Applies the findings of a scheduler about tasks and lost upstreams.
     pub(crate) fn settle_findings(&mut self, name: &name::Name, now: Now) {
         let sched = self.zones.get_mut(name).and_then(|zone| zone.sched.as_mut());
         let findings = sched.map(sched::Sched::take_findings).unwrap_or_default();
         self.suspects.learn(&findings);
         self.note_losses(&findings.losses, now);
-        self.tell_losses(&findings.losses, now);
+        self.send_losses(&findings.losses, now);
     }
 
     pub(crate) fn settle_sched(&mut self, name: &name::Name, now: Now) {
@@ -155,7 +156,8 @@
             self.send(&to, Body::Verdict(id, Box::new(ruling)), now);
         }
         for (to, id, spare) in out.spares {
-            // An entry that does not know that the zone is evacuated would hand them in again.
+            // An entry that does not know that the zone is evacuated would submit the tasks to it
+            // again.
             if !self.knows_evacuations(&to) {
                 self.beat_now(&to, now);
             }
@@ -167,18 +169,19 @@
             }
         }
         if !out.outranked.is_empty() {
-            self.outranked(name, &out.outranked, now);
+            self.handle_outranked(name, &out.outranked, now);
         }
     }
 
-    /// Whether an instance has told of the evacuations that are in force here.
+    /// Whether an instance has reported the revision of the evacuations that is in force here, or a
+    /// later one.
     fn knows_evacuations(&self, name: &name::Name) -> bool {
         let told = self.membership.peer(name).and_then(|peer| peer.ping.as_ref());
         let revision = told.map_or(0, |ping| ping.evacuations.revision);
         *name == self.membership.me().name || revision >= self.evacuations.revision
     }
 
-    /// Tells a scheduler that gets a job which upstreams were lost under its tasks elsewhere.
+    /// Sends a scheduler that receives a job the losses of upstreams that ran tasks of the job.
     pub(crate) fn tell_former(&mut self, to: &name::Name, job: &name::Name, now: Now) {
         let losses = self.suspects.losses_of(job);
         if !losses.is_empty() {
@@ -186,10 +189,10 @@
         }
     }
 
-    /// Tells of lost upstreams those who schedule, those who may become schedulers, and the entries
-    /// of what ran there, which tell the next scheduler: a task that brings them down is known to all
-    /// who may start it again.
-    fn tell_losses(&mut self, losses: &[suspect::Loss], now: Now) {
+    /// Sends lost upstreams to the schedulers, to the instances that may become schedulers, and to
+    /// the entries of the tasks that ran there, which pass them on to the next scheduler: every
+    /// instance that may start a task again then knows that it crashes upstreams.
+    fn send_losses(&mut self, losses: &[suspect::Loss], now: Now) {
         if losses.is_empty() {
             return;
         }
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Takes note of lost upstreams, and gives up the jobs whose tasks have too many behind them.
+    /// Records lost upstreams, and gives up the jobs with tasks that ran on too many of them.
     pub(crate) fn note_losses(&mut self, losses: &[suspect::Loss], now: Now) {
         for loss in losses {
             let given_up = self.suspects.add(loss, now.mono);
@@ -216,23 +219,24 @@
         }
     }
 
-    /// Upstreams have seen a higher token although nobody with a higher claim is heard.
-    fn outranked(&mut self, name: &name::Name, ids: &[name::Name], now: Now) {
+    /// Handles refusals by upstreams that have seen a higher token, while no message arrives from
+    /// an instance with a higher claim.
+    fn handle_outranked(&mut self, name: &name::Name, ids: &[name::Name], now: Now) {
         let me = self.membership.me().clone();
         let Some(zone) = self.zones.get_mut(name) else { return };
-        // Refusals that are over were settled by another claim.
-        let since = zone.outranked.filter(|(_, last)| now.mono < last + HEAR);
+        // Refusals that stopped were resolved by another claim.
+        let since = zone.outranked.filter(|(_, last)| now.mono < last + CLAIM_WAIT);
         let first = since.map_or(now.mono, |(first, _)| first);
         zone.outranked = Some((first, now.mono));
         if since.is_none() {
             let detail = format!("{} in all", ids.len());
-            self.note("zone: Outranked at an upstream.", &ids[0], detail);
+            self.note("zone: An upstream has seen a higher token.", &ids[0], detail);
         }
         let away = *name != me.zone;
         if away && !self.membership.reaches(name, now.mono)
             || !away && self.membership.is_cut_off(now.mono)
         {
-            // The larger part of the zone has a scheduler of its own.
+            // The larger part of the zone has its own scheduler.
             self.claims.stand_down(&me, name, now.mono);
             self.resign(name);
             return self.note(
@@ -241,7 +245,7 @@
                 name.to_string(),
             );
         }
-        if now.mono < first + HEAR + leadership::turn(&self.membership, now.mono) {
+        if now.mono < first + CLAIM_WAIT + leadership::turn(&self.membership, now.mono) {
             return;
         }
         let claim = self.claims.supersede(&me, name, now);
--- a/crates/dispatch/src/session.rs
+++ b/crates/dispatch/src/session.rs
@@ -1,8 +1,10 @@
-//! One upstream as its owner sees it: fencing token, lease, and what may be running there.
+//! The state of one upstream at its owner: fencing token, lease, and the runs that may be in
+//! progress there.
 //!
-//! An order without an answer may have been carried out, or be carried out later. The owner then
-//! raises the fencing token and asks again: once the upstream has answered under the higher
-//! token, no earlier order can take effect any more, and its list says which ones did.
+//! The upstream may have executed an order without an answer, or may execute it later. The owner
+//! then raises the fencing token and asks again: once the upstream has answered under the higher
+//! token, no earlier order can take effect any more, and the list in the answer says which ones
+//! did.
 
 use std::collections;
 
@@ -14,93 +16,97 @@
     time, timing, upstream,
 };
 
-/// How long an answer may wait for an end while tasks run, milliseconds. Between two answers a
-/// task that makes no progress is noticed.
-const WAIT_BUSY: u64 = 200;
-/// The same for an idle upstream.
-const WAIT_IDLE: u64 = 450;
-/// Upstreams up to which these hold: at 400 busy ones 2,000 answers a second. Of more, each answers
-/// less often, so that a scheduler with 0.4 of a core has time left for starts.
-const MANY: u64 = 400;
-/// Longest wait for the answer of a busy upstream, milliseconds: a lease of 950 is renewed twice.
-const LONGEST_BUSY: u64 = 450;
-/// The same for an idle one, which has no lease to lose.
-const LONGEST_IDLE: u64 = 900;
-/// How long an answer may wait for an end while calls are lost, milliseconds: the news of an end that was
-/// lost with one comes with the next. Idle upstreams are asked as often, since the question under way is
-/// the one that tells of the end of the next task there.
-const WAIT_LOSSY: u64 = 60;
-/// Pause before an upstream that did not answer, or obeys another owner, is asked again,
+/// How long an upstream with runs may delay its answer while it waits for a run to end,
+/// milliseconds. From two successive answers the owner detects a task that makes no progress.
+const BUSY_WAIT: u64 = 200;
+/// How long an idle upstream may delay its answer, milliseconds.
+const IDLE_WAIT: u64 = 450;
+/// The number of upstreams up to which these waits apply: 400 busy ones give 2,000 answers a
+/// second. If there are more, each of them answers less often, so that a scheduler with 0.4 of a
+/// core has time left for starts.
+const UNSCALED_SESSIONS: u64 = 400;
+/// Longest wait for the answer of a busy upstream, milliseconds: a lease of 950 ms is renewed twice
+/// before it ends.
+const MAX_BUSY_WAIT: u64 = 450;
+/// Longest wait for the answer of an idle upstream, which has no lease to lose, milliseconds.
+const MAX_IDLE_WAIT: u64 = 900;
+/// How long an answer may be delayed while calls are lost, milliseconds: if an answer with the end
+/// of a run is lost, the next one reports that end. Idle upstreams are asked as often, since the
+/// pending hold is the one that reports the end of the next task there.
+const LOSSY_WAIT: u64 = 60;
+/// Delay before the next call to an upstream that did not answer, or that obeys another owner,
 /// microseconds.
-const RETRY: u64 = 60 * time::MS;
-/// Upstreams that fell silent within this time of one another may have done so for one cause, microseconds: the
-/// longest time between two questions to a busy upstream.
-const TOGETHER: u64 = LONGEST_BUSY * time::MS;
-/// The first time it is asked at once: one call may be lost. Then the pause doubles so many times at most,
-/// to 480 ms: each question that is given up takes its connection with it.
-const DOUBLINGS: u32 = 3;
-
-/// How sure the owner is about a run.
+const RETRY_DELAY: u64 = 60 * time::MS;
+/// Upstreams that fell silent within this time of one another may have done so for the same cause,
+/// microseconds: the longest time between two calls to a busy upstream.
+const SILENCE_WINDOW: u64 = MAX_BUSY_WAIT * time::MS;
+/// How many times the retry delay doubles at most, up to 480 ms. The first retry follows at once,
+/// because a single call may be lost. The later ones are delayed, because each call that is given
+/// up closes its connection.
+const MAX_DOUBLINGS: u32 = 3;
+
+/// How much the owner knows about a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The order is on its way.
+    /// The start order has no answer yet.
     Starting,
-    /// The upstream has said that it runs.
+    /// The upstream has reported the run as running.
     Running,
-    /// It may be running.
+    /// The run may or may not be in progress.
     Unconfirmed,
 }
 
-/// A run that takes room at an upstream.
+/// A run that takes room on an upstream.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// Number of the run.
     pub attempt: u32,
-    /// What it takes.
+    /// The room that it takes.
     pub need: upstream::Room,
-    /// How sure it is.
+    /// How much the owner knows about it.
     pub stage: Stage,
-    /// Since when the stage holds.
+    /// When the run entered its stage.
     pub since: u64,
-    /// When it was ordered and heard to have begun; nothing for one that another scheduler started.
+    /// When it was ordered and confirmed as begun; `None` for a run that another scheduler started.
     pub begun: Option<timing::Begun>,
-    /// How long it takes by declaration, milliseconds; 0 if that is not known.
+    /// Its declared duration, milliseconds; 0 if none was declared.
     pub estimate: u64,
-    /// Last progress: when, and how much was done.
+    /// Last progress: the time and the amount done.
     pub progress: (u64, u32),
-    /// Whether nobody wants it any more, and when it was last told to stop.
+    /// Set if the run is no longer wanted: the time of the last order to stop it, 0 before the
+    /// first.
     pub unwanted: Option<u64>,
 }
 
-/// The clock of an upstream at one moment of ours.
+/// The clock of an upstream and the local clock at the same moment.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
-    theirs: u64,
-    ours: u64,
+    remote: u64,
+    local: u64,
 }
 
-/// What all upstreams of an owner have in common.
+/// Properties that all upstreams of an owner share.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// How many there are.
+    /// The number of upstreams.
     pub sessions: usize,
-    /// How they answer.
+    /// The call timeout, and whether calls are being lost.
     pub call_timeout: call_timeout::CallTimeout,
 }
 
-/// An upstream and what its owner knows of it.
+/// An upstream and its state as known to its owner.
 #[derive(Debug)]
 pub struct Session {
-    /// What it says about itself.
+    /// The last record that the upstream announced.
     pub record: upstream::Record,
-    /// What may be running there.
+    /// The runs that may be in progress there.
     pub runs: collections::BTreeMap<job::Task, Run>,
-    /// How it did lately.
+    /// Its recent successes and failures.
     pub health: crate::health::Health,
-    /// How fast it works.
+    /// How fast it runs tasks.
     pub speed: crate::speed::Speed,
     pub(crate) capacity_limit: capacity_limit::CapacityLimit,
-    /// What ran there when its leases were over while it was silent.
+    /// Tasks whose runs counted as ended when the leases expired while the upstream was silent.
     pub(crate) lapsed: Vec<job::Task>,
     /// Its number in the directory of its scheduler.
     pub(crate) number: u64,
@@ -109,18 +115,19 @@
     pub(crate) silent: Option<u64>,
     pub(crate) seen: u64,
     pub(crate) full: u64,
-    /// When a run was last seen ended.
+    /// When the owner last learned that a run had ended.
     pub(crate) freed: u64,
     clock: Option<Clock>,
-    granted: u64,
+    lease_end: u64,
     hold: Option<(u64, u64)>,
-    retry: u64,
-    /// Questions without an answer in a row.
-    misses: u32,
+    retry_at: u64,
+    /// Consecutive calls without an answer.
+    failures: u32,
 }
 
 impl Session {
-    /// An upstream that is to be taken over with the fencing token `fence`.
+    /// Creates the session of an upstream that the owner will take over with the fencing token
+    /// `fence`.
     pub fn new(record: upstream::Record, fence: u64) -> Self {
         Self {
             capacity_limit: capacity_limit::CapacityLimit::default(),
@@ -137,10 +144,10 @@
             full: 0,
             freed: 0,
             clock: None,
-            granted: 0,
+            lease_end: 0,
             hold: None,
-            retry: 0,
-            misses: 0,
+            retry_at: 0,
+            failures: 0,
         }
     }
 
@@ -153,17 +160,18 @@
             && now >= self.full
     }
 
-    /// By how much tasks take longer there where that counts, 1 elsewhere.
+    /// The factor by which tasks take longer there, where the policy avoids slow upstreams and this
+    /// one is slow; otherwise 1.
     pub fn slowness(&self, policy: policy::Policy, now: u64) -> f64 {
         if policy.avoid_slow && self.speed.is_slow(now) { self.speed.slowness(now) } else { 1.0 }
     }
 
-    /// Whether it has answered this owner at all.
+    /// Whether the upstream has answered under the present ownership.
     pub fn is_read(&self) -> bool {
         self.owned
     }
 
-    /// Takes what it says about itself.
+    /// Replaces the record by a newly announced one.
     pub fn told(&mut self, record: upstream::Record) {
         if record.room != self.record.room {
             self.capacity_limit = capacity_limit::CapacityLimit::default();
@@ -171,7 +179,7 @@
         self.record = record;
     }
 
-    /// What its runs take, those that are being stopped included.
+    /// The room that its runs take, including those that are being stopped.
     pub fn taken(&self) -> upstream::Room {
         let taken = self.runs.values().map(|run| run.need);
         taken.fold(upstream::Room::default(), upstream::Room::plus)
@@ -183,49 +191,52 @@
         upstream::Room { cpu, ..self.record.room }.less(self.taken())
     }
 
-    /// Whether it has answered the last call to this owner.
+    /// Whether the upstream has answered the last call of this owner.
     pub fn is_heard(&self) -> bool {
         self.owned && self.silent.is_none()
     }
 
     /// Whether a call is due.
     pub fn is_due(&self, now: u64) -> bool {
-        self.hold.is_none() && now >= self.retry
+        self.hold.is_none() && now >= self.retry_at
     }
 
-    /// The call that is due, if one is.
+    /// Returns the call that is due, if there is one.
     pub fn due(&mut self, number: u64, lease: u64, pace: Pace, now: u64) -> Option<Call> {
         if !self.is_due(now) {
             return None;
         }
         let (heard, lossy) = (self.is_heard(), pace.call_timeout.is_lossy());
-        let stretched =
-            |wait: u64, longest| (wait * pace.sessions as u64 / MANY).clamp(wait, longest);
+        let scaled = |wait: u64, longest| {
+            (wait * pace.sessions as u64 / UNSCALED_SESSIONS).clamp(wait, longest)
+        };
         let wait = match (heard, self.runs.is_empty()) {
             (false, _) => 0,
-            (true, true) if lossy => stretched(WAIT_LOSSY, LONGEST_IDLE),
-            (true, true) => stretched(WAIT_IDLE, LONGEST_IDLE),
-            (true, false) if lossy => stretched(WAIT_LOSSY, LONGEST_BUSY),
-            (true, false) => stretched(WAIT_BUSY, LONGEST_BUSY),
+            (true, true) if lossy => scaled(LOSSY_WAIT, MAX_IDLE_WAIT),
+            (true, true) => scaled(IDLE_WAIT, MAX_IDLE_WAIT),
+            (true, false) if lossy => scaled(LOSSY_WAIT, MAX_BUSY_WAIT),
+            (true, false) => scaled(BUSY_WAIT, MAX_BUSY_WAIT),
         };
-        // A hold that is not answered may have been heard: while the upstream is silent nothing is
-        // renewed, so that its runs are known to be over once the last lease is.
-        // Nor is it where nobody wants what runs: a run that is not stopped ends with its lease, and so
-        // within the time after which another scheduler may start its task.
+        // The upstream may have received a hold that it did not answer. While it is silent the
+        // owner renews no lease, so that its runs are known to be over once the last lease has
+        // expired. The owner does not renew it either where no run is wanted: a run that is not
+        // stopped ends with its lease, and so within the time after which another scheduler may
+        // start its task.
         let wanted = self.runs.is_empty() || self.runs.values().any(|run| run.unwanted.is_none());
         let until = if heard && wanted { self.grant(lease, now) } else { None };
         self.hold = Some((number, now));
         let order = Order::Hold { seen: self.seen, until, wait };
-        // Upstreams' timers may be late, and whether an answer was would never be known.
+        // Timers of upstreams may fire late, and the owner would never know whether an answer was
+        // late.
         Some(self.call(number, order, wait + call_timeout::PATIENCE))
     }
 
-    /// Whether a hold is under way.
+    /// Whether a hold is pending.
     pub fn is_asked(&self) -> bool {
         self.hold.is_some()
     }
 
-    /// An order other than a hold.
+    /// Builds a call with an order.
     pub fn call(&self, number: u64, order: Order, patience: u64) -> Call {
         Call {
             number,
@@ -237,27 +248,27 @@
         }
     }
 
-    /// The end of a lease that begins now, on the upstream's clock.
+    /// Grants a lease from now on and returns its end on the upstream's clock.
     pub fn grant(&mut self, lease: u64, now: u64) -> Option<u64> {
         let clock = self.clock?;
-        let until = clock.theirs + now.saturating_sub(clock.ours) / time::MS + lease;
-        let left = until.saturating_sub(clock.theirs) * time::MS;
-        let end = clock.ours + left + left * time::SLOW_CLOCK / 1_000;
-        self.granted = self.granted.max(end);
+        let until = clock.remote + now.saturating_sub(clock.local) / time::MS + lease;
+        let left = until.saturating_sub(clock.remote) * time::MS;
+        let end = clock.local + left + left * time::SLOW_CLOCK / 1_000;
+        self.lease_end = self.lease_end.max(end);
         Some(until)
     }
 
-    /// Whether every lease that was granted has run out, by any clock.
+    /// Whether all granted leases have expired, even on the slowest clock.
     pub fn has_lapsed(&self, now: u64) -> bool {
-        now >= self.granted
+        now >= self.lease_end
     }
 
-    /// Notes the upstream's clock from an answer.
-    pub fn tell_time(&mut self, theirs: u64, now: u64) {
-        self.clock = Some(Clock { theirs, ours: now });
+    /// Records the upstream's clock from an answer.
+    pub fn tell_time(&mut self, remote: u64, now: u64) {
+        self.clock = Some(Clock { remote, local: now });
     }
 
-    /// Whether this is the hold under way; it is over then.
+    /// Ends the pending hold if it has this number, and returns the time at which it was sent.
     pub fn end_hold(&mut self, number: u64) -> Option<u64> {
         let (held, sent) = self.hold?;
         if held != number {
@@ -267,56 +278,62 @@
         Some(sent)
     }
 
-    /// An order had no answer: what was ordered may take effect until a higher token is seen.
+    /// Handles an order without an answer: it may take effect until the upstream has seen a higher
+    /// token.
     pub fn mark_unconfirmed(&mut self, now: u64) {
         self.fence += claim::NEXT_FENCE;
         self.silent.get_or_insert(now);
         self.hold = None;
-        self.retry = now;
+        self.retry_at = now;
     }
 
-    /// Somebody else may have owned it meanwhile: what it runs is to be read again.
+    /// Takes the upstream over: another scheduler may have owned it meanwhile, so its runs have to
+    /// be read again.
     pub fn take_over(&mut self, epoch: u64, now: u64) {
         self.fence = self.fence.max(epoch);
         self.owned = false;
         self.hold = None;
-        self.retry = now;
+        self.retry_at = now;
     }
 
-    /// The upstream has seen a higher token: it obeys another owner for now.
+    /// Handles a refusal by an upstream that has seen a higher token: it obeys another owner for
+    /// now.
     pub fn outranked(&mut self, now: u64) {
         self.owned = false;
-        self.retry = now + RETRY;
+        self.retry_at = now + RETRY_DELAY;
     }
 
-    /// A hold had no answer.
+    /// Handles a hold without an answer.
     pub fn miss(&mut self, now: u64) {
         self.silent.get_or_insert(now);
-        self.retry = now + if self.misses == 0 { 0 } else { RETRY << (self.misses - 1) };
-        self.misses = (self.misses + 1).min(DOUBLINGS + 1);
+        self.retry_at =
+            now + if self.failures == 0 { 0 } else { RETRY_DELAY << (self.failures - 1) };
+        self.failures = (self.failures + 1).min(MAX_DOUBLINGS + 1);
     }
 
-    /// An upstream that fell silent at `since` answers again; what silenced this one may be over as well.
+    /// Brings the retry forward when an upstream that fell silent at `since` answers again: the
+    /// cause may have ended for this upstream as well.
     pub fn retry_with(&mut self, since: u64, now: u64) {
-        let together = self.silent.is_some_and(|own| own.abs_diff(since) <= TOGETHER);
+        let together = self.silent.is_some_and(|own| own.abs_diff(since) <= SILENCE_WINDOW);
         if together && self.hold.is_none() {
-            self.retry = self.retry.min(now);
+            self.retry_at = self.retry_at.min(now);
         }
     }
 
-    /// The upstream has answered under the present token.
+    /// Handles an answer of the upstream under the present token.
     pub fn answered(&mut self) {
         self.owned = true;
         self.silent = None;
-        self.misses = 0;
+        self.failures = 0;
     }
 
-    /// Runs that are neither running nor ended by a list that was asked for at `asked`.
+    /// The runs that the upstream lists neither as running nor as ended, in a list that was
+    /// requested at `asked`.
     pub fn missing(&self, running: &[Running], asked: u64) -> Vec<job::Task> {
         let there = |task: &job::Task, run: &Run| {
             running.iter().any(|row| row.task == *task && row.attempt == run.attempt)
         };
-        // The list comes under the present token, so it settles every doubt.
+        // The list arrives under the present token, so it settles all unconfirmed runs.
         let sure = |run: &Run| match run.stage {
             Stage::Starting => false,
             Stage::Running => run.since < asked,
@@ -326,7 +343,7 @@
         missing.map(|(task, _)| task.clone()).collect()
     }
 
-    /// Runs of tasks of `step` of `job`.
+    /// The number of runs of tasks of `step` of `job`.
     pub fn count(&self, job: &name::Name, step: u32) -> u32 {
         self.runs.keys().filter(|task| task.job == *job && task.step == step).count() as u32
     }
--- a/crates/dispatch/src/slow.rs
+++ b/crates/dispatch/src/slow.rs
@@ -1,11 +1,11 @@
-//! What a scheduler learns of the speed of its upstreams from their answers.
+//! How a scheduler measures the speed of its upstreams from their answers.
 
 use state::name;
 
 use crate::{order::Running, sched::Sched, speed, time, timing};
 
 impl Sched {
-    /// Learns from a run that has done its work.
+    /// Updates the speed of an upstream from a completed run.
     pub(crate) fn note_speed(
         &mut self,
         id: &name::Name,
@@ -20,10 +20,10 @@
         let ratio = parts.work as f64 / (estimate * time::MS) as f64;
         let was_slow = session.speed.is_slow(now);
         session.speed.note(self.usual.note(ratio), now);
-        self.tell_speed(id, was_slow, now);
+        self.log_slowness(id, was_slow, now);
     }
 
-    /// Learns from the runs that go on.
+    /// Updates the speed of an upstream from the runs in progress.
     pub(crate) fn watch_speed(
         &mut self,
         id: &name::Name,
@@ -41,15 +41,15 @@
         let paces: smallvec::SmallVec<[f64; 4]> = running.iter().filter_map(pace).collect();
         let was_slow = session.speed.is_slow(now);
         session.speed.set_going(paces.into_iter(), now);
-        self.tell_speed(id, was_slow, now);
+        self.log_slowness(id, was_slow, now);
     }
 
-    fn tell_speed(&mut self, id: &name::Name, was_slow: bool, now: u64) {
+    fn log_slowness(&mut self, id: &name::Name, was_slow: bool, now: u64) {
         let Some(session) = self.sessions.get(id) else { return };
         let slowness = session.speed.slowness(now);
         if session.speed.is_slow(now) && !was_slow {
             self.note(
-                "upstream: It is slow.",
+                "upstream: Detected as slow.",
                 id,
                 &format!("{slowness:.1} times as long as usual"),
             );
--- a/crates/dispatch/src/start.rs
+++ b/crates/dispatch/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting what waits: which jobs go first, and the orders that follow.
+//! Starts waiting tasks: the order in which jobs are placed, and the start orders that follow.
 
 use state::name;
 
@@ -13,10 +13,10 @@
     suspect, time, timing,
 };
 
-/// A task is started only if its entry has asked for the job within this time by its own clock,
-/// microseconds: less than the time after which the job is dropped ([`upkeep::ABANDONED`]), since what
-/// waited longer may be another scheduler's.
-const FRESH: u64 = 850 * time::MS;
+/// The scheduler starts a task only if its entry has asked for the job within this time by the
+/// clock of the entry, microseconds. It is less than the time after which the scheduler drops the
+/// job ([`upkeep::ABANDONED`]), since a job that waited longer may belong to another scheduler.
+const MAX_STAMP_AGE: u64 = 850 * time::MS;
 
 impl Sched {
     /// Places waiting tasks, job by job in the order of the queue.
@@ -30,9 +30,9 @@
             return;
         }
         let unread = self.sessions.values().any(|session| !session.is_read());
-        // A stamp later than the entry's clock is of a former life of it.
+        // A stamp later than the entry's clock comes from a former incarnation of the entry.
         let fresh = |active: &Active| {
-            let is_fresh = |clock| (active.stamp..=active.stamp + FRESH).contains(&clock);
+            let is_fresh = |clock| (active.stamp..=active.stamp + MAX_STAMP_AGE).contains(&clock);
             alive(&active.entry).is_some_and(is_fresh)
         };
         let mut room = place::Room::new(&self.sessions, suspects, self.policy, now);
@@ -45,10 +45,11 @@
         let overloaded = self.policy.refuse_late && queue::is_overloaded(load);
         let waiting = self.jobs.values().filter(waits).filter(|active| fresh(active));
         let ranked = waiting.map(|active| (queue::rank(active, congested, now), active));
-        let welcome = |rank: queue::Feasibility| !(overloaded && rank == queue::Feasibility::Late);
-        let mut line: Vec<_> = ranked.filter(|(rank, _)| welcome(rank.0)).collect();
-        line.sort_by_key(|(rank, active)| (*rank, &active.job.id));
-        for (_, active) in line {
+        let is_accepted =
+            |rank: queue::Feasibility| !(overloaded && rank == queue::Feasibility::Late);
+        let mut queued: Vec<_> = ranked.filter(|(rank, _)| is_accepted(rank.0)).collect();
+        queued.sort_by_key(|(rank, active)| (*rank, &active.job.id));
+        for (_, active) in queued {
             let known = self.known.get(&active.entry).copied().unwrap_or(0);
             let left = queue::useful_until(active, now).saturating_sub(now) / time::MS;
             place_job(active, place::Limit { known, left }, &mut room);
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Starts a task at an upstream that has room for it.
+    /// Starts a task on an upstream that has room for it.
     pub(crate) fn start(&mut self, task: &Task, id: &name::Name, now: u64) {
         let Some(active) = self.jobs.get_mut(&task.job) else { return };
         let Some(session) = self.sessions.get_mut(id) else { return };
@@ -99,7 +100,7 @@
     }
 }
 
-/// Takes room for the tasks of a job that may start, as far as there is some.
+/// Places the tasks of a job that may start, as far as there is room for them.
 fn place_job(active: &Active, limit: place::Limit, room: &mut place::Room<'_>) {
     for (step, items) in active.items.iter().enumerate() {
         if !active.is_due(step) {
--- a/crates/dispatch/src/submissions.rs
+++ b/crates/dispatch/src/submissions.rs
@@ -1,14 +1,16 @@
-//! The entry's side of a job: which schedulers have its tasks, and what to do when one is lost.
+//! The entry's side of a job: it tracks which schedulers hold its tasks, and reassigns tasks when a
+//! scheduler is lost.
 //!
-//! Each task is with one scheduler at a time. A job is offered to the scheduler of the entry's own
-//! zone, which starts what it has room for and gives the rest back; that goes to the next zone which
-//! may have some. What no zone has room for waits in one of them. When a scheduler is lost, its
-//! successor gets its tasks again, marked as resumed: those that still run are found there.
+//! Each task is assigned to one scheduler at a time. The entry offers a job to the scheduler of its
+//! own zone, which starts the tasks that it has room for and returns the rest; the entry offers
+//! these to the next zone that may have room. Tasks for which no zone has room wait in one of them.
+//! When a scheduler is lost, the entry hands its tasks to the successor, marked as resumed, and the
+//! successor finds those that still run.
 //!
-//! The load this answers: zones of 28 places at four fifths of their room and above, with jobs of 8
-//! tasks. One zone or another is full at nearly any time, while all of them never are. Loads in
-//! heartbeats are 150 ms old, in which two thirds of all places change hands, so that what they tell
-//! only says where to ask first.
+//! This handles zones of 28 slots with a load of 80% of their capacity and above, and jobs of 8
+//! tasks. One zone or another is full at nearly any time, but all of them are never full together.
+//! Loads in heartbeats are 150 ms old, and two thirds of all slots change their task within that
+//! time, so that the loads only tell which zone to ask first.
 
 use std::collections;
 
@@ -23,113 +25,118 @@
     view::View,
 };
 
-/// A scheduler is asked about jobs that it has had for this long, microseconds: one that is lost
-/// on the way costs little more.
-const ASK: u64 = 300 * time::MS;
-/// A job that no scheduler could be given is refused after this, microseconds: the time in which
-/// a zone replaces one (heartbeats missed for 500 ms, a turn or two of 300 ms).
-const NO_SCHEDULER: u64 = 1_400 * time::MS;
-/// A scheduler that is lost has dropped the job and its leases are over after this time,
-/// microseconds; another zone may have it then.
-const DROPPED: u64 = sched::FORMER;
-/// A zone that had no room is not asked again for this long, microseconds: less than the shortest
-/// tasks take (60 ms), and with all zones full each entry asks each of them 20 times a second.
-const FULL: u64 = 50 * time::MS;
-
-/// A scheduler is late that was heard this much before another one, microseconds: the heartbeats of both are
-/// 150 ms apart. An entry that is late itself hears all of them late.
-const LATE: u64 = 200 * time::MS;
-/// A job waits this long for the scheduler of its entry's own zone where there is none and no other has
-/// room at once, microseconds: one that starts with its upstreams known claims its zone after 150 ms, and the
-/// next one that is awake 300 ms later. Until then the others' queues would fill up with all that comes.
-const HOME: u64 = 400 * time::MS;
-
-/// Effects of the last calls.
+/// Interval at which the entry tells a scheduler that it still awaits its jobs, microseconds: a job
+/// that is lost on the way is delayed by little more than this.
+const AWAIT_INTERVAL: u64 = 300 * time::MS;
+/// How long a job that could not be handed to any scheduler waits before it is refused,
+/// microseconds: the time in which a zone replaces its scheduler (heartbeats missed for 500 ms, and
+/// one or two election turns of 300 ms).
+const NO_SCHEDULER_TIMEOUT: u64 = 1_400 * time::MS;
+/// After this time a lost scheduler has dropped the job and its leases have expired, microseconds;
+/// from then on another zone may take the job.
+const FORMER_TIMEOUT: u64 = sched::FORMER;
+/// How long the entry waits before it asks a zone again that had no room, microseconds. This is
+/// less than the duration of the shortest tasks (60 ms); while all zones are full, each entry asks
+/// each of them 20 times a second.
+const FULL_RETENTION: u64 = 50 * time::MS;
+
+/// A scheduler is late if its last message is this much older than that of another scheduler,
+/// microseconds: the heartbeats of both are 150 ms apart. An entry that is late itself receives the
+/// messages of all of them late.
+const LATE_AFTER: u64 = 200 * time::MS;
+/// How long a job waits for the scheduler of its entry's own zone where that zone has none and no
+/// other zone has room at once, microseconds: a scheduler that starts with its upstreams known
+/// claims its zone after 150 ms, and the next instance that is running 300 ms later. Without this
+/// wait all incoming jobs would fill the queues of the other zones meanwhile.
+const HOME_WAIT: u64 = 400 * time::MS;
+
+/// Effects collected since the last [`Submissions::take`].
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages.
+    /// Messages to send, with their receivers.
     pub sends: Vec<(name::Name, Body)>,
-    /// Verdicts for the tickets that wait for them.
+    /// Verdicts, with the tickets that await them.
     pub verdicts: Vec<(Ticket, Verdict)>,
-    /// Decisions worth a log line.
+    /// Decisions to be logged.
     pub notes: Vec<Note>,
-    /// Times for histograms.
+    /// Durations for histograms.
     pub measures: Vec<Measure>,
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenJob {
     job: Job,
     tickets: smallvec::SmallVec<[Ticket; 1]>,
     arrived: u64,
-    /// Its tasks that are not known to be done, by the scheduler that has them.
+    /// Its tasks that are not known to be done, grouped by the scheduler that holds them.
     parts: smallvec::SmallVec<[assignment::Assignment; 1]>,
-    /// Whether a scheduler kept some tasks when it gave others back, or has done them.
+    /// Whether a scheduler kept some of the tasks when it returned others, or has completed them.
     begun: bool,
-    /// Whether a part that is done was another scheduler's before.
+    /// Whether a completed part had been assigned to another scheduler before.
     resumed: bool,
-    /// Zones where parts of it were done.
+    /// Zones in which parts of it were completed.
     zones: smallvec::SmallVec<[name::Name; 1]>,
 }
 
-/// The jobs of the clients of one entry.
+/// The open jobs of the clients of one entry.
 #[derive(Debug, Default)]
 pub struct Submissions {
-    open: collections::BTreeMap<name::Name, Open>,
+    open: collections::BTreeMap<name::Name, OpenJob>,
     tickets: collections::HashMap<Ticket, name::Name>,
-    /// How full the zones are, and when that was told.
+    /// The last known load of each zone, and the time of the message that reported it.
     loads: collections::BTreeMap<name::Name, (Load, u64)>,
-    /// Since when there is no scheduler that could take tasks.
-    unled: Option<u64>,
+    /// Since when no scheduler is available that could take tasks.
+    leaderless: Option<u64>,
     /// Number of the last hand-over.
     number: u64,
     policy: policy::Policy,
     out: Output,
 }
 
-/// Who gets tasks.
+/// The scheduler chosen for a set of tasks.
 #[derive(Debug)]
 struct Choice {
     claim: claim::Claim,
-    /// Whether others are asked if there is no room.
+    /// Whether the scheduler returns tasks that it has no room for, so that the entry can ask
+    /// others.
     offer: bool,
 }
 
 impl Submissions {
-    /// Decides by `policy`.
+    /// Sets the scheduling policy.
     #[must_use]
     pub fn with_policy(self, policy: policy::Policy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Takes the effects collected so far.
+    /// Returns the effects collected so far and clears them.
     pub fn take(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
 
-    /// Jobs that clients wait for.
+    /// The number of jobs that clients await.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// Notes how full the upstreams of a zone are.
+    /// Records the load of a zone.
     pub fn load(&mut self, zone: &name::Name, load: Load, now: u64) {
         self.loads.insert(zone.clone(), (load, now));
     }
 
-    /// Whether less than a quarter of a zone is free, as far as is known: between two heartbeats of
-    /// its scheduler that much may be taken.
+    /// Whether less than a quarter of a zone is free by its last known load: between two heartbeats
+    /// of its scheduler, tasks may take that much.
     pub fn is_short(&self, zone: &name::Name) -> bool {
         self.loads.get(zone).is_some_and(|(load, _)| load.free * 4 <= load.total)
     }
 
-    /// The schedulers that have jobs of this entry's clients.
+    /// The schedulers that hold jobs of this entry's clients.
     pub fn schedulers(&self) -> impl Iterator<Item = &name::Name> {
         let parts = self.open.values().flat_map(|open| &open.parts);
         parts.filter_map(|part| part.with.as_ref()).map(|claim| &claim.holder)
     }
 
-    /// Takes a job of a client.
+    /// Accepts a job from a client.
     pub fn submit(&mut self, ticket: Ticket, job: Job, view: View<'_>) {
         let id = job.id.clone();
         self.tickets.insert(ticket, id.clone());
@@ -141,12 +148,12 @@
         let part = assignment::Assignment::new(number, share::Share::ALL, view.now);
         let (tickets, parts) = (smallvec::smallvec![ticket], smallvec::smallvec![part]);
         let (arrived, zones) = (view.now, smallvec::SmallVec::new());
-        let open = Open { job, tickets, arrived, parts, begun: false, resumed: false, zones };
+        let open = OpenJob { job, tickets, arrived, parts, begun: false, resumed: false, zones };
         self.open.insert(id.clone(), open);
-        self.give(&id, number, view);
+        self.assign(&id, number, view);
     }
 
-    /// The client of a ticket has gone.
+    /// Handles the disconnect of the client of a ticket.
     pub fn left(&mut self, ticket: Ticket) {
         let Some(id) = self.tickets.remove(&ticket) else { return };
         let Some(open) = self.open.get_mut(&id) else { return };
@@ -161,12 +168,12 @@
         }
     }
 
-    /// A scheduler says how its part of a job ended.
+    /// Handles the verdict of a scheduler on its part of a job.
     pub fn verdict(&mut self, from: &name::Name, id: &name::Name, ruling: &Ruling, now: u64) {
         let Some(open) = self.open.get_mut(id) else { return };
         match &ruling.verdict {
             Verdict::Complete => {
-                // Whoever did them, they are done.
+                // The tasks are done, regardless of which scheduler ran them.
                 let (done, rest): (Vec<_>, Vec<_>) =
                     open.parts.drain(..).partition(|part| ruling.share.covers(&part.share));
                 open.parts = rest.into();
@@ -182,22 +189,23 @@
                 }
             }
             Verdict::Failed => self.close(id, &Verdict::Failed, now),
-            // A scheduler speaks for itself only; one that had the job before may have started it,
-            // or another one that has some of its tasks.
+            // The verdict covers only this scheduler: one that held the job before, or another one
+            // that holds some of its tasks, may have started it.
             Verdict::NotRun(_) | Verdict::GaveUp => {
                 let is_meant = |part: &&assignment::Assignment| {
                     part.number == ruling.number && part.is_with(from)
                 };
                 let Some(part) = open.parts.iter().find(is_meant) else { return };
-                let alone = open.parts.len() == 1 && !open.begun && !part.resumed;
-                let verdict = if alone { &ruling.verdict } else { &Verdict::GaveUp };
+                let sole = open.parts.len() == 1 && !open.begun && !part.resumed;
+                let verdict = if sole { &ruling.verdict } else { &Verdict::GaveUp };
                 self.close(id, verdict, now);
             }
         }
     }
 
-    /// A scheduler does not know what it was given. It is given again when time passes, not at once:
-    /// an instance that schedules no more would be asked as fast as it answers.
+    /// Handles a scheduler's report that it does not know the tasks assigned to it. The next tick
+    /// hands them over again, not this call: an instance that no longer schedules the zone would
+    /// otherwise be asked as fast as it answers.
     pub fn unknown(&mut self, from: &name::Name, id: &name::Name, number: u64) {
         let Some(open) = self.open.get_mut(id) else { return };
         let is_meant =
@@ -207,7 +215,8 @@
         }
     }
 
-    /// A scheduler gives tasks back for which it has no room; the next one may have some.
+    /// Handles tasks that a scheduler returns because it has no room for them; the next scheduler
+    /// may have some.
     pub fn spare(&mut self, from: &name::Name, id: &name::Name, spare: &Spare, view: View<'_>) {
         let number = self.next_number(view.now);
         let Some(open) = self.open.get_mut(id) else { return };
@@ -226,30 +235,30 @@
         open.begun |= spare.begun;
         if kept.is_empty() {
             part.returned();
-            return self.give(id, spare.number, view);
+            return self.assign(id, spare.number, view);
         }
         part.share = kept;
         let rest = part.split(number, tasks, view.now);
         open.parts.push(rest);
         open.begun = true;
-        self.give(id, number, view);
+        self.assign(id, number, view);
     }
 
-    /// Lets time pass.
+    /// Handles everything that is due.
     pub fn tick(&mut self, view: View<'_>) {
         let now = view.now;
-        self.unled = if view.is_led() { None } else { self.unled.or(Some(now)) };
+        self.leaderless = if view.is_led() { None } else { self.leaderless.or(Some(now)) };
         let mut ask: collections::BTreeMap<(name::Name, name::Name), Vec<Awaited>> =
             collections::BTreeMap::new();
         let mut again = Vec::new();
         let mut over = Vec::new();
         for (id, open) in &mut self.open {
             if now >= open.arrived + open.job.patience * time::MS {
-                over.push((id.clone(), open.last_word(Refusal::NoScheduler)));
+                over.push((id.clone(), open.final_verdict(Refusal::NoScheduler)));
                 continue;
             }
             for part in &mut open.parts {
-                match part.tick(view, ASK, DROPPED) {
+                match part.tick(view, AWAIT_INTERVAL, FORMER_TIMEOUT) {
                     assignment::Due::Nothing => {}
                     assignment::Due::Ask => {
                         if let Some(claim) = &part.with {
@@ -262,7 +271,7 @@
                     assignment::Due::Give => again.push((id.clone(), part.number)),
                 }
             }
-            if !open.is_given() && now >= open.arrived + NO_SCHEDULER {
+            if !open.is_given() && now >= open.arrived + NO_SCHEDULER_TIMEOUT {
                 over.push((id.clone(), Verdict::NotRun(Refusal::NoScheduler)));
             }
         }
@@ -270,7 +279,7 @@
             self.close(&id, &verdict, now);
         }
         for (id, number) in again {
-            self.give(&id, number, view);
+            self.assign(&id, number, view);
         }
         let sends = ask.into_iter().map(|((to, zone), ids)| (to, Body::Await(zone, ids, now)));
         self.out.sends.extend(sends);
@@ -297,20 +306,20 @@
         }
     }
 
-    /// Tells the schedulers that nobody waits for the job any more.
-    fn cancel(&mut self, id: &name::Name, open: &Open) {
+    /// Tells the schedulers that no client awaits the job any more.
+    fn cancel(&mut self, id: &name::Name, open: &OpenJob) {
         let holders = open.parts.iter().filter_map(|part| part.with.as_ref());
         let cancels = holders.map(|claim| (claim.holder.clone(), Body::Cancel(id.clone())));
         self.out.sends.extend(cancels);
     }
 
-    /// Gives a part of a job to a scheduler, if one can be reached.
-    fn give(&mut self, id: &name::Name, number: u64, view: View<'_>) {
+    /// Assigns a part of a job to a scheduler, if one can be reached.
+    fn assign(&mut self, id: &name::Name, number: u64, view: View<'_>) {
         let Some(open) = self.open.get(id) else { return };
         let Some(at) = open.parts.iter().position(|part| part.number == number) else { return };
         let Some(choice) = self.choose(open, &open.parts[at], view) else {
             if let Some(refusal) = self.refusal(&open.parts[at], view) {
-                let verdict = open.last_word(refusal);
+                let verdict = open.final_verdict(refusal);
                 self.close(id, &verdict, view.now);
             }
             return;
@@ -343,23 +352,25 @@
         job.age += view.now.saturating_sub(open.arrived) / time::MS;
         let count = part.share.len(job.count());
         let evacuated = !view.is_open(&view.membership.me().zone);
-        self.hand(job, handover, count, choice.claim, evacuated);
+        self.send_handover(job, handover, count, choice.claim, evacuated);
     }
 
-    /// Why tasks that nobody can take are not worth waiting with, if they are not.
+    /// The reason to refuse tasks that no scheduler can take at present, unless they should wait.
     fn refusal(&self, part: &assignment::Assignment, view: View<'_>) -> Option<Refusal> {
         if part.pin.is_some() {
             None
         } else if view.is_closed() {
             Some(Refusal::Evacuated)
         } else {
-            let unled = self.unled.is_some_and(|since| view.now >= since + NO_SCHEDULER);
-            unled.then_some(Refusal::NoScheduler)
+            let leaderless =
+                self.leaderless.is_some_and(|since| view.now >= since + NO_SCHEDULER_TIMEOUT);
+            leaderless.then_some(Refusal::NoScheduler)
         }
     }
 
-    /// Sends a job to its scheduler; `evacuated` tells why it does not go to the entry's own zone.
-    fn hand(
+    /// Sends a job to its scheduler; `evacuated` says whether it goes to another zone because the
+    /// zone of its entry is evacuated.
+    fn send_handover(
         &mut self,
         job: Job,
         handover: Handover,
@@ -391,11 +402,17 @@
         self.out.sends.push((claim.holder, body));
     }
 
-    /// Who gets a part of a job.
+    /// Chooses the scheduler for a part of a job.
     ///
-    /// It is offered from zone to zone, its entry's own first, as long as one may have room at once.
-    /// What is left waits where most is free, or least is waited for.
-    fn choose(&self, open: &Open, part: &assignment::Assignment, view: View<'_>) -> Option<Choice> {
+    /// The entry offers the part to one zone after the other, its own first, as long as one may
+    /// have room at once. The rest waits in the zone with the most free cores after deduction of
+    /// those that its waiting tasks need.
+    fn choose(
+        &self,
+        open: &OpenJob,
+        part: &assignment::Assignment,
+        view: View<'_>,
+    ) -> Option<Choice> {
         let home = &view.membership.me().zone;
         let reached = |claim: &&claim::Claim| view.membership.holds(claim, view.now);
         if let Some(zone) = &part.pin {
@@ -409,8 +426,9 @@
             !part.tried.contains(&claim.zone) && !self.is_full(&claim.zone, least, view.now)
         };
         let freshest = able.iter().filter_map(|claim| view.heard(claim)).max().unwrap_or(0);
-        let late =
-            |claim: &claim::Claim| view.heard(claim).is_some_and(|heard| freshest >= heard + LATE);
+        let late = |claim: &claim::Claim| {
+            view.heard(claim).is_some_and(|heard| freshest >= heard + LATE_AFTER)
+        };
         let order =
             |claim: &&&claim::Claim| (!late(claim), claim.zone == *home, self.free(&claim.zone));
         let led = able.iter().any(|claim| claim.zone == *home && !late(claim));
@@ -428,21 +446,25 @@
             (!late(claim), free.min(need), claim.zone == *home, free)
         };
         let claim = (*able.iter().max_by_key(queue)?).clone();
-        let fresh = !open.begun && !part.resumed && view.now < open.arrived + HOME;
+        let fresh = !open.begun && !part.resumed && view.now < open.arrived + HOME_WAIT;
         if homeless && fresh && self.free(&claim.zone) < need {
             return None;
         }
         Some(Choice { claim, offer: false })
     }
 
-    /// Cores of a zone that are free as far as is known, less what waits there, thousandths.
+    /// The free cores of a zone by its last known load, less those that its waiting tasks need, in
+    /// thousandths.
     fn free(&self, zone: &name::Name) -> i64 {
         self.loads.get(zone).map_or(0, |(load, _)| load.free)
     }
 
-    /// Whether a zone was known a moment ago to have no room for a task that needs `least`.
+    /// Whether a zone reported within [`FULL_RETENTION`] that it had no room for a task that needs
+    /// `least`.
     fn is_full(&self, zone: &name::Name, least: i64, now: u64) -> bool {
-        self.loads.get(zone).is_some_and(|(load, at)| load.free < least && now < at + FULL)
+        self.loads
+            .get(zone)
+            .is_some_and(|(load, at)| load.free < least && now < at + FULL_RETENTION)
     }
 
     fn next_number(&mut self, now: u64) -> u64 {
@@ -451,19 +473,19 @@
     }
 }
 
-impl Open {
-    /// Whether a scheduler may have started something.
+impl OpenJob {
+    /// Whether a scheduler may have started any of its tasks.
     fn is_given(&self) -> bool {
         self.begun || self.parts.iter().any(|part| part.given)
     }
 
-    /// How it ends where it can't go on, for this reason.
-    fn last_word(&self, refusal: Refusal) -> Verdict {
+    /// The verdict for a job that cannot continue for the reason `refusal`.
+    fn final_verdict(&self, refusal: Refusal) -> Verdict {
         if self.is_given() { Verdict::GaveUp } else { Verdict::NotRun(refusal) }
     }
 
-    /// Joins a part with the one that the holder of a claim has already, if it has one; gives the
-    /// position of what goes there.
+    /// Merges a part with the part that the holder of a claim already has, if there is one, and
+    /// returns the position of the part to send.
     fn join(&mut self, at: usize, claim: &claim::Claim) -> usize {
         let has = |(other, part): &(usize, &assignment::Assignment)| {
             *other != at && part.with.as_ref() == Some(claim)
--- a/crates/dispatch/src/timing.rs
+++ b/crates/dispatch/src/timing.rs
@@ -1,73 +1,77 @@
-//! Where the time of a task went: delay of the system apart from the work itself.
+//! Splits the time of a task into parts: the delay that the system adds, and the run itself.
 //!
-//! Upstreams tell their own clock with each answer and nothing of when a run began or ended. An
-//! order to start is answered when the run has begun, and the next question when one has ended, so the
-//! time between the two by the upstream's clock is the work, to a millisecond or two.
+//! With each answer upstreams send their own clock, but no times at which runs began or ended. The
+//! upstream answers a start order when the run has begun, and the next hold when a run has ended,
+//! so the time between the two by its clock is the work, to a millisecond or two.
 
 use std::fmt;
 
 use crate::time;
 
-/// What stands before the parts of a task in a line of a log.
-const LABEL: &str = "last task: ";
+/// The text before the parts of a task in a log line.
+const PREFIX: &str = "last task: ";
 
-/// When a run was ordered and was heard to have begun.
+/// When a run was ordered, and when the upstream confirmed that it had begun.
 #[derive(Clone, Copy, Debug)]
 pub struct Begun {
-    /// When its order was decided, microseconds.
-    ordered: u64,
-    /// When it was heard to have begun, microseconds, and the upstream's clock then, milliseconds.
-    heard: Option<(u64, u64)>,
+    /// When the scheduler decided the start order, microseconds.
+    ordered_at: u64,
+    /// When the confirmation arrived, microseconds, and the clock of the upstream then,
+    /// milliseconds.
+    confirmed: Option<(u64, u64)>,
 }
 
 impl Begun {
-    /// A run whose order is decided now.
+    /// Creates the times of a run whose start order is decided now.
     pub fn new(now: u64) -> Self {
-        Self { ordered: now, heard: None }
+        Self { ordered_at: now, confirmed: None }
     }
 
-    /// Notes that the run goes on by `clock` of the upstream, milliseconds; the first time counts.
+    /// Records that the run is in progress at `clock` of the upstream, milliseconds; only the first
+    /// call counts.
     pub fn hear(&mut self, clock: u64, now: u64) {
-        self.heard.get_or_insert((now, clock));
+        self.confirmed.get_or_insert((now, clock));
     }
 
-    /// How long it has gone on by `clock` of the upstream, milliseconds, since it was heard to have begun.
+    /// How long the run has been in progress at `clock` of the upstream, milliseconds, since the
+    /// confirmation that it had begun.
     pub fn elapsed(&self, clock: u64) -> Option<u64> {
-        self.heard.map(|(_, began)| clock.saturating_sub(began))
+        self.confirmed.map(|(_, began)| clock.saturating_sub(began))
     }
 
-    /// How its time is split, now that it is heard to have ended by `clock` of the upstream, milliseconds.
+    /// Splits the time of the run when the news of its end arrives, at `clock` of the upstream,
+    /// milliseconds.
     ///
-    /// A run that was never heard to go on had its order, or the answer to it, lost: all of that time counts
-    /// for the order.
+    /// If the scheduler never learned that the run was in progress, the order or its answer was
+    /// lost: all of that time counts for the order.
     pub fn end(&self, clock: u64, now: u64) -> Breakdown {
-        let whole = now.saturating_sub(self.ordered);
-        let (heard, began) = self.heard.unwrap_or((now, clock));
+        let whole = now.saturating_sub(self.ordered_at);
+        let (confirmed, began) = self.confirmed.unwrap_or((now, clock));
         let work = (clock.saturating_sub(began) * time::MS).min(whole);
-        let order = heard.saturating_sub(self.ordered).min(whole - work);
+        let order = confirmed.saturating_sub(self.ordered_at).min(whole - work);
         let told = whole - work - order;
         Breakdown { order, work, told, ..Breakdown::default() }
     }
 }
 
-/// The time of a task from its client's request on, microseconds.
+/// The parts of a task's time, from its client's request on, microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Breakdown {
-    /// Until its scheduler had it.
+    /// Until its scheduler received it.
     pub handed: u64,
-    /// Until its order was decided: for room, or for an earlier step or run of it.
+    /// Until its start order was decided: the wait for room, or for an earlier step or run of it.
     pub waited: u64,
-    /// Until the run was heard to have begun.
+    /// Until its scheduler had the confirmation that the run had begun.
     pub order: u64,
     /// The run itself.
     pub work: u64,
-    /// From its end until its scheduler heard of it.
+    /// From the end of the run until its scheduler learned of it.
     pub told: u64,
 }
 
 impl Breakdown {
-    /// These parts after a request that reached its scheduler after `handed`, and ended `whole` after it
-    /// was taken, microseconds each.
+    /// Completes the parts for a request that reached its scheduler after `handed`, and whose task
+    /// was done `whole` after the request had been accepted, microseconds each.
     #[must_use]
     pub fn after(self, handed: u64, whole: u64) -> Self {
         let run = self.order + self.work + self.told;
@@ -75,9 +79,9 @@
         Self { handed, waited, ..self }
     }
 
-    /// Reads what [`fmt::Display`] writes, from a line of a log: milliseconds.
+    /// Parses the output of [`fmt::Display`] in a log line, in milliseconds.
     pub fn read(line: &str) -> Option<Self> {
-        let (_, list) = line.split_once(LABEL)?;
+        let (_, list) = line.split_once(PREFIX)?;
         let part = |name: &str| {
             let (_, rest) = list.split_once(name)?;
             let number = rest.split_whitespace().next()?;
@@ -92,7 +96,7 @@
         })
     }
 
-    /// From the client's request until its scheduler knew that the task was done.
+    /// The time from the client's request until its scheduler knew that the task was done.
     pub fn whole(&self) -> u64 {
         self.handed + self.waited + self.order + self.work + self.told
     }
@@ -105,7 +109,7 @@
             [handed, waited, order, work, told].map(|part| part / time::MS);
         write!(
             f,
-            "{LABEL}handed {handed} ms, waited {waited} ms, order {order} ms, work {work} ms, \
+            "{PREFIX}handed {handed} ms, waited {waited} ms, order {order} ms, work {work} ms, \
              told {told} ms"
         )
     }
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -1,4 +1,5 @@
-//! The table of upstreams, spread by news and mended by digests.
+//! The table of upstreams. Announcements update it, and a comparison of digests repairs missed
+//! updates.
 
 use std::collections;
 
@@ -9,15 +10,15 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub enum Phase {
-    /// Takes work.
+    /// Accepts tasks.
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its tasks and accepts no new ones.
     Leaving,
-    /// This life of it has ended, or it has been out of reach for long.
+    /// This incarnation has ended, or has been unreachable for long.
     Gone,
 }
 
-/// What an upstream can hold, or what a task needs.
+/// The capacity of an upstream, or the need of a task.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -31,7 +32,7 @@
 }
 
 impl Room {
-    /// Whether all of it fits into `room`.
+    /// Whether this room fits into `room` in every resource.
     pub fn fits(&self, room: &Self) -> bool {
         self.cpu <= room.cpu && self.memory <= room.memory && self.accelerators <= room.accelerators
     }
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The larger of both, kind by kind.
+    /// The larger amount of each resource.
     #[must_use]
     pub fn most(self, other: Self) -> Self {
         Self {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// This room without `other`, never below nothing.
+    /// This room without `other`; no resource falls below zero.
     #[must_use]
     pub fn less(self, other: Self) -> Self {
         Self {
@@ -67,46 +68,47 @@
     }
 }
 
-/// What one life of an upstream says about itself.
+/// The announced properties of one incarnation of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Record {
-    /// Its name; each life of an upstream has another one.
+    /// Its name; each incarnation of an upstream has another one.
     pub id: name::Name,
     /// Service whose tasks it runs.
     pub service: name::Name,
-    /// Address of its calls, `IP:PORT`.
+    /// The address for calls to it, `IP:PORT`.
     pub address: name::Name,
-    /// Availability zone it is in.
+    /// Its availability zone.
     pub zone: name::Name,
-    /// What it can hold.
+    /// Its capacity.
     pub room: Room,
-    /// The most that this life of it has said to hold: what fits that may fit again.
+    /// The largest room that this incarnation has announced: a task that fits into it may fit again
+    /// later.
     #[serde(default)]
     pub most: Room,
-    /// Its kind, its rack.
+    /// Labels, such as its kind and its rack.
     pub labels: smallvec::SmallVec<[name::Name; 2]>,
-    /// Whether it takes new work.
+    /// Whether it accepts new tasks.
     pub phase: Phase,
     /// Rises with each announcement; [`u64::MAX`] is final.
     pub serial: u64,
 }
 
-/// So many lives that are gone are remembered, so that what was said of them before and comes late is
-/// not believed: where an upstream is replaced each 300 ms, those of the last ten minutes.
-const REMEMBERED: usize = 2_048;
+/// How many incarnations that are gone the table keeps, so that late records about them are
+/// ignored. If an upstream is replaced every 300 ms, this covers the last ten minutes.
+const MAX_GONE: usize = 2_048;
 
-/// The upstreams that an instance knows of.
+/// The upstreams that an instance knows.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     records: collections::BTreeMap<name::Name, Record>,
-    /// Those that are gone, in the order in which they went.
+    /// The incarnations that are gone, in the order of their ends.
     gone: collections::VecDeque<name::Name>,
     digests: collections::BTreeMap<name::Name, u64>,
     changes: u64,
 }
 
 impl Table {
-    /// Rises with each change but of serial numbers.
+    /// A counter that rises with each change except for changes of serial numbers.
     pub fn changes(&self) -> u64 {
         self.changes
     }
@@ -116,24 +118,25 @@
         self.records.values().filter(|record| record.phase != Phase::Gone)
     }
 
-    /// Takes a record; gives what is known of the upstream now, if that is new but for the serial number.
+    /// Merges a record, and returns the record now known of the upstream if it has changed apart
+    /// from the serial number.
     pub fn take(&mut self, record: Record) -> Option<Record> {
         let id = record.id.clone();
         let changed = self.merge(record);
         self.records.get(&id).filter(|_| changed).cloned()
     }
 
-    /// Takes a record; true if it changes what is known but for the serial number.
+    /// Merges a record; returns whether it changes the known record apart from the serial number.
     ///
-    /// An old one may still tell of a larger room than any that is known here, where this instance has
-    /// heard of the upstream later than others.
+    /// An old record may still announce a larger room than the known one, where this instance
+    /// learned of the upstream later than others.
     fn merge(&mut self, mut record: Record) -> bool {
         record.most = record.most.most(record.room);
         let Some(held) = self.records.get_mut(&record.id) else {
             self.digests.remove(&record.zone);
             self.changes += 1;
             if record.phase == Phase::Gone {
-                self.remember(&record.id);
+                self.remember_gone(&record.id);
             }
             self.records.insert(record.id.clone(), record);
             return true;
@@ -146,43 +149,43 @@
         }
         let serial = std::mem::replace(&mut held.serial, record.serial);
         let changed = larger || *held != record;
-        // Only the last word about an upstream is worth keeping apart from the next one.
+        // Only the last record of an upstream is worth keeping apart from the next one.
         debug_assert!(serial <= record.serial, "serial numbers rise");
         if changed {
             self.changes += 1;
             self.digests.remove(&held.zone);
             self.digests.remove(&record.zone);
         }
-        let went = record.phase == Phase::Gone && held.phase != Phase::Gone;
+        let is_newly_gone = record.phase == Phase::Gone && held.phase != Phase::Gone;
         let id = record.id.clone();
         *held = record;
-        if went {
-            self.remember(&id);
+        if is_newly_gone {
+            self.remember_gone(&id);
         }
         changed
     }
 
-    /// Notes that an upstream is gone; `last` says that this life of it never comes back.
+    /// Marks an upstream as gone; `last` means that this incarnation never returns.
     pub fn bury(&mut self, id: &name::Name, last: bool) -> Option<Record> {
         let held = self.records.get_mut(id)?;
         self.digests.remove(&held.zone);
         self.changes += 1;
-        let went = held.phase != Phase::Gone;
+        let is_newly_gone = held.phase != Phase::Gone;
         held.phase = Phase::Gone;
         if last {
             held.serial = u64::MAX;
         }
         let record = held.clone();
-        if went {
-            self.remember(id);
+        if is_newly_gone {
+            self.remember_gone(id);
         }
         Some(record)
     }
 
-    /// Remembers one that is gone, and forgets the first of too many.
-    fn remember(&mut self, id: &name::Name) {
+    /// Adds an incarnation that is gone, and removes the oldest one if there are too many.
+    fn remember_gone(&mut self, id: &name::Name) {
         self.gone.push_back(id.clone());
-        if self.gone.len() > REMEMBERED
+        if self.gone.len() > MAX_GONE
             && let Some(first) = self.gone.pop_front()
             && self.records.get(&first).is_some_and(|record| record.phase == Phase::Gone)
         {
@@ -200,23 +203,24 @@
         self.of_zone(zone).filter(|record| record.phase != Phase::Gone)
     }
 
-    /// All upstreams of a zone, also those that are gone.
+    /// All upstreams of a zone, including those that are gone.
     pub fn of_zone<'a>(&'a self, zone: &'a name::Name) -> impl Iterator<Item = &'a Record> {
         self.records.values().filter(move |record| record.zone == *zone)
     }
 
-    /// Digest of the upstreams of a zone that are not gone, without their serial numbers and former rooms.
-    /// It covers all else that they say: news of a room that has shrunk may be lost like any other.
+    /// Digest of the upstreams of a zone that are not gone, without their serial numbers and former
+    /// rooms. It covers all other fields: the record of a room that has shrunk may be lost like any
+    /// other message.
     pub fn digest(&mut self, zone: &name::Name) -> u64 {
         if let Some(digest) = self.digests.get(zone) {
             return *digest;
         }
-        let one = |record: &Record| {
+        let hash_record = |record: &Record| {
             let Record { id, service, address, room, labels, phase, .. } = record;
             let text = format!("{id} {service} {address} {room:?} {labels:?} {phase:?}");
             xxhash_rust::xxh3::xxh3_64(text.as_bytes())
         };
-        let digest = self.present(zone).map(one).fold(0, |sum, hash| sum ^ hash);
+        let digest = self.present(zone).map(hash_record).fold(0, |sum, hash| sum ^ hash);
         self.digests.insert(zone.clone(), digest);
         digest
     }
