--- a/crates/coord/src/config.rs
+++ b/crates/coord/src/config.rs
@@ -1,10 +1,10 @@
-//! What an instance is when it starts.
+//! Configuration that an instance starts with.
 
 use state::boot;
 
 use crate::member::Instance;
 
-/// What an instance is.
+/// Configuration of an instance.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This instance.
@@ -15,8 +15,8 @@
     pub disk: Option<u64>,
     /// All instances, this one included.
     pub all: Vec<Instance>,
-    /// Decisions replaced by their baselines.
+    /// Decisions that a trial replaces by their baselines.
     pub trial: boot::Trial,
-    /// Seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
--- a/crates/coord/src/core.rs
+++ b/crates/coord/src/core.rs
@@ -1,4 +1,4 @@
-//! The core: all decisions of one instance. Events go in with the time, effects come out.
+//! The state machine of one instance: each event, with the current time, gives a list of outputs.
 
 use std::collections;
 
@@ -18,19 +18,20 @@
     waiter::Waiter,
 };
 
-/// An instance of the zone that was silent this long is expelled, microseconds. It must be longer
-/// than a lease by more than a message takes.
+/// Time without a message after which the journal leader expels an instance of its zone,
+/// microseconds. It must exceed the lease by more than the transit time of a message.
 pub const EXPEL: u64 = 1_500 * time::MS;
-/// Between two calls of [`Event::Tick`], microseconds.
+/// Interval between two [`Event::Tick`] events, microseconds.
 pub const TICK: u64 = 20 * time::MS;
-/// Between two messages about renewed upstream leases, microseconds.
+/// Interval between two batches of upstream lease renewals, microseconds.
 pub(crate) const RENEWALS: u64 = 250 * time::MS;
-/// A running job without contact to the journal is given up after this, microseconds.
+/// Time without a journal lease after which an instance gives up a running job, microseconds.
 pub(crate) const LOST_CONTACT: u64 = 5_000 * time::MS;
-/// An instance that starts waits this long for the settings group before it asks its neighbours,
-/// microseconds.
-const SEEK_AFTER: u64 = 3_000 * time::MS;
+/// Time that a starting instance waits for the settings group before it asks the other instances
+/// of its zone for the settings, microseconds.
+const SETTINGS_WAIT: u64 = 3_000 * time::MS;
 
+/// A settings change that waits for its outcome.
 #[derive(Debug)]
 pub(crate) struct Pending {
     pub(crate) tickets: Vec<Ticket>,
@@ -39,7 +40,8 @@
     pub(crate) until: u64,
 }
 
-/// Per service: its queue, observed times, retry budget and what is known of idle slots elsewhere.
+/// State of one service: its queue, observed service times, retry budget, and the requests for
+/// idle slots of other instances.
 #[derive(Debug, Default)]
 pub(crate) struct Service {
     pub(crate) queue: queue::Queue,
@@ -52,8 +54,8 @@
     pub(crate) pause: u64,
 }
 
-/// All decisions of one instance.
-#[expect(clippy::struct_excessive_bools, reason = "independent facts, not states of one thing")]
+/// The state machine of one instance.
+#[expect(clippy::struct_excessive_bools, reason = "the flags are independent of each other")]
 #[derive(Debug)]
 pub struct Core {
     pub(crate) config: Config,
@@ -79,22 +81,22 @@
     pub(crate) renew_at: u64,
     pub(crate) prune_at: u64,
     pub(crate) duty_at: u64,
-    pub(crate) seek_at: u64,
+    pub(crate) fetch_at: u64,
     pub(crate) return_at: u64,
     pub(crate) abroad_at: u64,
-    pub(crate) asked_table: bool,
+    pub(crate) table_requested: bool,
     pub(crate) leaving: collections::BTreeSet<name::Member>,
     pub(crate) members: collections::BTreeSet<name::Member>,
     pub(crate) left: Option<u64>,
     pub(crate) drained: bool,
-    /// Whether the embedder was told that it may exit.
-    pub(crate) told: bool,
+    /// Whether [`Output::Drained`] was sent.
+    pub(crate) drain_reported: bool,
     pub(crate) ready: bool,
-    pub(crate) leased: u64,
+    pub(crate) last_leased: u64,
 }
 
 impl Core {
-    /// An instance that starts at `now` from what it had stored.
+    /// Starts an instance at `now` from its recovered state.
     pub fn new(config: Config, recovered: group::Recovered, now: Now) -> Self {
         let settings = groups::settings(&config).with_recovered(recovered, now.mono);
         let journal = groups::journal(&config, &config.me.zone);
@@ -128,20 +130,20 @@
             duty_at: 0,
             return_at: 0,
             abroad_at: 0,
-            seek_at: now.mono + SEEK_AFTER,
-            asked_table: false,
+            fetch_at: now.mono + SETTINGS_WAIT,
+            table_requested: false,
             leaving: collections::BTreeSet::new(),
             members: collections::BTreeSet::new(),
             left: None,
             drained: false,
-            told: false,
+            drain_reported: false,
             ready: false,
-            leased: now.mono,
+            last_leased: now.mono,
             config,
         }
     }
 
-    /// Takes one event and gives its effects.
+    /// Handles one event and returns the resulting outputs.
     pub fn handle(&mut self, event: Event, now: Now) -> Vec<Output> {
         match event {
             Event::Tick => self.tick(now),
@@ -156,31 +158,32 @@
             Event::Change(ticket, change) => self.change(ticket, &change, now),
             Event::Drain => self.draining = true,
         }
-        self.settle(now);
+        self.process_groups(now);
         std::mem::take(&mut self.out)
     }
 
-    /// The settings tree, as far as this instance has it.
+    /// The settings tree as last replicated to this instance.
     pub fn tree(&self) -> &tree::Tree {
         &self.settings.machine().tree
     }
 
-    /// Whether the instance can serve: it has joined its zone's journal and holds the settings.
+    /// Whether the instance can serve: it is a member of its zone's journal, holds the settings,
+    /// and is not draining.
     pub fn is_ready(&self) -> bool {
         self.ready && !self.draining
     }
 
-    /// Jobs that this instance works on.
+    /// Ids of the jobs in progress at this instance.
     pub fn in_progress(&self) -> Vec<String> {
         self.jobs.keys().map(ToString::to_string).collect()
     }
 
-    /// What was counted since the start.
+    /// Counters since the start of the instance.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// The upstreams as this instance sees them.
+    /// The upstreams known to this instance, with their load and health.
     pub fn fleet(&self) -> &fleet::Fleet {
         &self.fleet
     }
@@ -197,17 +200,17 @@
         self.out.push(Output::Send(to.clone(), body));
     }
 
-    /// Whether this instance may start tasks of journaled jobs.
+    /// Whether this instance holds a lease and may therefore start tasks of journaled jobs.
     pub(crate) fn has_lease(&self, now: u64) -> bool {
         self.journal.lease(now) > now && self.table().is_live(self.journal.me())
     }
 
-    /// Since when the lease is missing, if it is.
+    /// Time since the instance last held a lease, microseconds.
     pub(crate) fn unleased(&self, now: u64) -> u64 {
-        now.saturating_sub(self.leased)
+        now.saturating_sub(self.last_leased)
     }
 
-    /// The other instances of this zone that are in.
+    /// The other live members of this zone's journal.
     pub(crate) fn neighbours(&self) -> Vec<name::Name> {
         let others = self.table().live().filter(|member| member.name != self.config.me.name);
         others.map(|member| member.name.clone()).collect()
@@ -228,9 +231,9 @@
             group.tick(now);
         }
         if self.has_lease(now.mono) {
-            self.leased = now.mono;
+            self.last_leased = now.mono;
         }
-        self.seek_settings(now);
+        self.fetch_settings(now);
         self.update_ready(now);
         self.duties(now);
         self.tick_jobs(now);
@@ -244,14 +247,14 @@
     }
 
     fn update_ready(&mut self, now: Now) {
-        let formed = self.journal.formation().is_some_and(|f| now.wall >= f.at);
+        let formed = self.journal.formation().is_some_and(|formation| now.wall >= formation.at);
         if self.ready || !formed {
             return;
         }
         let no_voters = member::settings_seats(&self.config.all).is_empty();
         let agreed = self.settings.raft().is_some_and(|raft| raft.commit() > 0);
-        let holds = no_voters || agreed || self.tree().version() > 0;
-        self.ready = holds && self.has_lease(now.mono);
+        let has_settings = no_voters || agreed || self.tree().version() > 0;
+        self.ready = has_settings && self.has_lease(now.mono);
     }
 
     fn on_peer(&mut self, from: &name::Name, body: Body, now: Now) {
@@ -300,14 +303,14 @@
         raft: message::Raft,
         now: Now,
     ) {
-        let taken = match group {
+        let accepted = match group {
             message::Group::Settings => self.settings.on_raft(from, route, raft, now.mono),
             message::Group::Journal(zone) => match self.journal_of(zone) {
                 Some(journal) => journal.on_raft(from, route, raft, now.mono),
                 None => false,
             },
         };
-        self.counts.rejected += u64::from(!taken);
+        self.counts.rejected += u64::from(!accepted);
     }
 
     fn on_propose(
@@ -337,32 +340,32 @@
         self.witness.get_mut(zone)
     }
 
-    /// Moves effects of the groups on until nothing more follows from them.
-    fn settle(&mut self, now: Now) {
+    /// Processes the outputs of the groups until no further effects result from them.
+    fn process_groups(&mut self, now: Now) {
         loop {
             let settings = self.settings.take();
             let journal = self.journal.take();
-            let quiet = settings.effects.is_empty() && journal.effects.is_empty();
-            let whole = settings.restored || journal.restored || journal.lost;
-            self.settle_settings(settings, now);
-            self.settle_journal(journal, now);
+            let idle = settings.effects.is_empty() && journal.effects.is_empty();
+            let replaced = settings.restored || journal.restored || journal.lost;
+            self.process_settings(settings, now);
+            self.process_journal(journal, now);
             self.dispatch_dirty(now);
-            if quiet && !whole {
+            if idle && !replaced {
                 break;
             }
         }
-        // Whatever the last round has put on its way.
+        // The last round may have produced further messages and saves.
         let settings = self.settings.take();
-        self.settle_settings(settings, now);
+        self.process_settings(settings, now);
         let journal = self.journal.take();
-        self.settle_journal(journal, now);
+        self.process_journal(journal, now);
         for group in self.witness.values_mut() {
             let sends = group.take().sends;
             self.out.extend(sends.into_iter().map(|(to, body)| Output::Send(to, body)));
         }
     }
 
-    fn settle_settings(&mut self, out: group::Output<machine::Changed>, now: Now) {
+    fn process_settings(&mut self, out: group::Output<machine::Changed>, now: Now) {
         self.out.extend(out.saves.into_iter().map(|(number, save)| Output::Save(number, save)));
         self.out.extend(out.sends.into_iter().map(|(to, body)| Output::Send(to, body)));
         if !out.effects.is_empty() || out.restored {
@@ -372,8 +375,8 @@
             self.tell_change(effect.change, effect.outcome);
         }
         if out.restored {
-            let known: Vec<_> = self.changes.keys().copied().collect();
-            for change in known {
+            let pending: Vec<_> = self.changes.keys().copied().collect();
+            for change in pending {
                 if let Some(outcome) = self.tree().outcome(change) {
                     self.tell_change(change, outcome);
                 }
@@ -382,7 +385,7 @@
         }
     }
 
-    fn settle_journal(&mut self, out: group::Output<table::Effect>, now: Now) {
+    fn process_journal(&mut self, out: group::Output<table::Effect>, now: Now) {
         self.out.extend(out.sends.into_iter().map(|(to, body)| Output::Send(to, body)));
         if out.lost {
             self.lose_jobs();
@@ -401,7 +404,7 @@
                     self.on_limited(&job, &owner, retry);
                 }
                 table::Effect::Ended(job, outcome) => self.on_ended(&job, outcome, now),
-                // The owner proposes again once it is in.
+                // The owner repeats the proposal once it is a live member.
                 table::Effect::Refused(..) => {}
             }
         }
@@ -412,13 +415,14 @@
         let live: Vec<_> = self.table().live().cloned().collect();
         let rank = live.iter().position(|member| *member == me);
         self.fleet.set_rank(rank.map(|rank| (rank as u32, live.len() as u32)));
-        // A loan ends with the life of either side, also if the next life is there already.
-        let stay: collections::BTreeSet<_> =
+        // A loan ends when either the lender or the borrower restarts, even if the next
+        // incarnation of that instance is already live.
+        let unchanged: collections::BTreeSet<_> =
             live.iter().filter(|m| self.members.contains(*m)).map(|m| m.name.clone()).collect();
-        self.fleet.keep_loans(|name| stay.contains(name));
+        self.fleet.keep_loans(|name| unchanged.contains(name));
         self.members = live.into_iter().collect();
-        if rank.is_some() && !self.asked_table {
-            self.asked_table = true;
+        if rank.is_some() && !self.table_requested {
+            self.table_requested = true;
             for to in self.neighbours() {
                 self.send(&to, Body::Table(message::Table::Ask));
             }
@@ -428,17 +432,19 @@
         }
         self.dirty.extend(self.services.keys().cloned());
         if self.has_lease(now.mono) {
-            self.leased = now.mono;
+            self.last_leased = now.mono;
         }
     }
 
-    /// Once nothing is in progress: hand over leadership and shares, then report.
+    /// Completes a drain: once no job or call is in progress, gives up membership and its slot
+    /// shares, hands over leadership, and reports [`Output::Drained`].
     fn tick_drain(&mut self, now: Now) {
-        const FAREWELL: u64 = 1_000 * time::MS;
+        const EXPEL_WAIT: u64 = 1_000 * time::MS;
         if !self.draining {
             return;
         }
-        // Without contact to the journal nothing more can be learnt of jobs that nobody waits for.
+        // Without contact to the journal, the outcome of a job cannot be learnt any more. A job
+        // without waiters does not delay the exit then.
         let lost = self.unleased(now.mono) > LOST_CONTACT;
         let busy = self.jobs.values().any(|job| !lost || !job.waiters.is_empty());
         if busy || !self.calls.is_empty() {
@@ -449,16 +455,16 @@
                 self.left = Some(now.mono);
                 let me = self.journal.me().clone();
                 for to in self.neighbours() {
-                    let left = message::Job::Leaving { life: me.life };
-                    self.send(&to, Body::Job(left));
+                    let leaving = message::Job::Leaving { life: me.life };
+                    self.send(&to, Body::Job(leaving));
                 }
                 self.propose(&table::Command::Expel(me), now);
             }
-            Some(since) if self.drained || now.mono > since + FAREWELL => {
+            Some(since) if self.drained || now.mono > since + EXPEL_WAIT => {
                 self.journal.hand_over(now.mono);
                 self.settings.hand_over(now.mono);
-                if !self.told {
-                    self.told = true;
+                if !self.drain_reported {
+                    self.drain_reported = true;
                     self.out.push(Output::Drained);
                 }
             }
--- a/crates/coord/src/event.rs
+++ b/crates/coord/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an instance, and what it does.
+//! Events that an instance handles, and the outputs that it returns.
 
 use std::collections;
 
@@ -9,21 +9,21 @@
     queue, raft,
 };
 
-/// Number under which the embedder waits for a reply.
+/// Number by which the embedding program matches a reply to its event.
 pub type Ticket = u64;
 
-/// What happens to an instance.
+/// An event for an instance.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// The periodic timer fired (see [`crate::core::TICK`]).
     Tick,
-    /// A message of another instance.
+    /// A message from another instance.
     Peer(name::Name, Body),
-    /// The change with this number, and all before it, are on disk.
+    /// The save with this number, and every earlier one, is on disk.
     Saved(u64),
     /// A client submits a job or a request.
     Submit(Ticket, Spec),
-    /// A client asks how a job stands.
+    /// A client queries the state of a job.
     Show(Ticket, id::JobId),
     /// A client cancels a job.
     Cancel(Ticket, id::JobId),
@@ -31,68 +31,68 @@
     Announce(Ticket, upstream::Upstream),
     /// An upstream withdraws.
     Withdraw(Ticket, name::Name),
-    /// A started task came back.
+    /// An attempt at a task ended.
     Done(Done),
     /// An operator changes the settings.
     Change(Ticket, tree::Change),
-    /// Finish what is in progress and take nothing new.
+    /// The instance is to finish the jobs in progress and to accept no new ones.
     Drain,
 }
 
-/// A task that is to be started.
+/// An attempt at a task, to be started at an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
     /// The task.
     pub task: queue::Task,
     /// Number of the attempt.
     pub attempt: u64,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: name::Name,
-    /// Its address.
+    /// Address of the upstream.
     pub address: name::Name,
-    /// Payload.
+    /// Payload of the task.
     pub body: bytes::Bytes,
     /// Content type of the payload.
     pub content: name::Name,
-    /// When the answer is too late, on the monotonic clock.
+    /// Deadline for the answer, microseconds of the monotonic clock.
     pub deadline: u64,
-    /// The task must not be started after this, on the monotonic clock.
+    /// End of the lease, microseconds of the monotonic clock. The task must not be started later.
     pub lease: u64,
     /// W3C trace context.
     pub trace: name::Name,
 }
 
-/// A started task that came back.
+/// The end of an attempt at a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Done {
     /// The task.
     pub task: queue::Task,
     /// Number of the attempt.
     pub attempt: u64,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: name::Name,
     /// Time from start to end, microseconds.
     pub took: u64,
-    /// How it ended.
+    /// How the attempt ended.
     pub finish: Finish,
 }
 
 /// How an attempt at a task ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finish {
-    /// The upstream's whole answer.
+    /// The upstream's complete answer.
     Answer(message::Answer),
-    /// It is proved that the upstream did not start it: it refused for want of room.
+    /// The upstream certainly did not start the task: it refused for lack of capacity.
     Full,
-    /// It is proved that the upstream did not start it: it was never reached.
+    /// The upstream certainly did not start the task: it was never reached.
     Unreached,
-    /// It was not sent, because the lease was over.
+    /// The task was not sent, because the lease had expired.
     Unsent,
-    /// It ran and failed, or may have run.
+    /// The task ran and failed, or may have run.
     Failed(String),
 }
 
-/// A task that is no longer wanted.
+/// An attempt whose result is no longer needed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stop {
     /// The task.
@@ -103,47 +103,48 @@
     pub address: name::Name,
 }
 
-/// An answer to the embedder.
+/// A reply to the embedding program.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// How a submission ended, or stands.
+    /// The outcome of a submission, or its present state.
     Verdict(Verdict),
-    /// The cancellation was taken.
+    /// The cancellation was accepted.
     Cancelled,
     /// The upstream's lease, milliseconds.
     Lease(u64),
-    /// The upstream is withdrawn.
+    /// The upstream was withdrawn.
     Withdrawn,
-    /// How a settings change ended.
+    /// The outcome of a settings change.
     Changed(tree::Outcome),
-    /// Whether the settings change was or will be accepted cannot be told.
+    /// The outcome of the settings change is unknown: it may have been, or may yet be, accepted.
     Untold(String),
 }
 
-/// What an instance does.
+/// An action for the embedding program to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message.
+    /// Send a message to another instance.
     Send(name::Name, Body),
-    /// Store a change and report it with [`Event::Saved`].
+    /// Store a change durably and confirm it with [`Event::Saved`].
     Save(u64, raft::Save),
     /// Start a task and report its end with [`Event::Done`].
     Start(Start),
-    /// Tell an upstream that a task is not wanted; best effort.
+    /// Ask an upstream to stop an attempt whose result is no longer needed; best effort.
     Stop(Stop),
-    /// Answer a ticket.
+    /// Send a reply for a ticket.
     Reply(Ticket, Reply),
     /// The settings tree has changed.
     Settings,
-    /// A job of the service was answered, so many microseconds later than its longest task took.
+    /// A job of the service was answered. The number is the latency beyond the service time of its
+    /// longest task, microseconds.
     Over(name::Name, u64),
-    /// Everything in progress has ended; the process may exit.
+    /// The drain is complete; the process may exit.
     Drained,
 }
 
-/// What was counted since the start.
+/// Counters since the start of the instance.
 #[derive(Clone, Debug, Default, serde::Serialize)]
-#[expect(missing_docs, reason = "the names say what is counted")]
+#[expect(missing_docs, reason = "each field is named after the events it counts")]
 pub struct Counts {
     pub submitted: u64,
     pub completed: u64,
--- a/crates/coord/src/fleet.rs
+++ b/crates/coord/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The upstreams as one instance sees them: leases, slots, load, health, and the choice of one.
+//! The upstreams known to one instance: their leases, slots, load and health, and the choice of an
+//! upstream for a task.
 
 use std::collections;
 
@@ -10,29 +11,30 @@
 
 use crate::{health, place, share, time};
 
-/// Upstreams are remembered this long after their lease, microseconds.
-const REMEMBER: u64 = 60_000 * time::MS;
-/// Share of a lender's idle slots that it keeps: one in this many.
-const RESERVE: u32 = 4;
+/// Time that an upstream stays in the table after its lease expired, microseconds.
+const RETENTION: u64 = 60_000 * time::MS;
+/// A lender keeps one in this many of its idle slots in reserve.
+const RESERVE_DIVISOR: u32 = 4;
 
+/// Load and health of one upstream.
 #[derive(Debug, Default)]
 struct Load {
     outstanding: u32,
     health: health::Health,
 }
 
-/// Slots of a service, as far as this instance may use them.
+/// Slot counts of a service at this instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Room {
-    /// Slots this instance may use.
+    /// Slots that this instance may use.
     pub allowed: u32,
-    /// Those of them that are free.
+    /// Slots that this instance may use and that are free.
     pub free: u32,
     /// Slots of all open upstreams.
     pub total: u32,
 }
 
-/// Upstreams, their load and the loans of their slots.
+/// The upstreams, with their load, their health and the loans of their slots.
 #[derive(Debug)]
 pub struct Fleet {
     table: Upstreams,
@@ -47,7 +49,7 @@
 }
 
 impl Fleet {
-    /// No upstreams yet.
+    /// Creates an empty fleet.
     pub fn new(trial: boot::Trial, seed: u64) -> Self {
         Self {
             table: Upstreams::new(),
@@ -67,17 +69,17 @@
         &self.table
     }
 
-    /// The loans.
+    /// The slots lent to and borrowed from other instances.
     pub fn loans(&self) -> &share::Loans {
         &self.loans
     }
 
-    /// Ejections so far.
+    /// Number of ejections since the start.
     pub fn ejections(&self) -> u64 {
         self.ejections
     }
 
-    /// Tasks that this instance has at an upstream.
+    /// Number of tasks that this instance has in flight at an upstream.
     pub fn outstanding(&self, upstream: &str) -> u32 {
         self.loads.get(upstream).map_or(0, |load| load.outstanding)
     }
@@ -87,13 +89,13 @@
         self.loads.get(upstream).is_some_and(|load| load.health.is_ejected(now))
     }
 
-    /// Takes an announcement; tells whether anything but the lease has changed.
+    /// Stores an announcement; returns whether anything but the lease changed.
     pub fn put(&mut self, info: Upstream, until: u64) -> bool {
-        let former = self.table.get(info.name.as_str()).map(|held| held.info.service.clone());
+        let old_service = self.table.get(info.name.as_str()).map(|held| held.info.service.clone());
         let (name, service) = (info.name.clone(), info.service.clone());
         let changed = self.table.put(info, until);
-        if former.as_ref() != Some(&service) {
-            if let Some(names) = former.and_then(|former| self.services.get_mut(&former)) {
+        if old_service.as_ref() != Some(&service) {
+            if let Some(names) = old_service.and_then(|old| self.services.get_mut(&old)) {
                 names.retain(|other| *other != name);
             }
             self.services.entry(service).or_default().push(name.clone());
@@ -102,27 +104,29 @@
         changed
     }
 
-    /// Extends the lease of the upstream with this short name; false if none is known.
+    /// Extends the lease of the upstream whose name has the digest `short`; returns false if no
+    /// such upstream is known.
     pub fn renew(&mut self, short: u32, stamp: u64, until: u64) -> bool {
         let found = self.table.iter().find(|l| state::id::short(l.info.name.as_str()) == short);
         let name = found.map(|leased| leased.info.name.clone());
         name.is_some_and(|name| self.table.renew(name.as_str(), stamp, until))
     }
 
-    /// Sets this instance's place among those of its zone; nothing if it has none.
+    /// Sets the rank of this instance among the live members of its zone, and their count; `None`
+    /// if this instance is no live member.
     pub fn set_rank(&mut self, rank: Option<(u32, u32)>) {
         self.rank = rank;
     }
 
-    /// Ends loans with instances that are gone.
+    /// Ends the loans with instances for which `stays` returns false.
     pub fn keep_loans(&mut self, stays: impl Fn(&name::Name) -> bool) {
         self.loans.keep(stays);
     }
 
-    /// Forgets upstreams whose lease is long over and takes back loans.
+    /// Removes upstreams whose lease expired long ago, and reclaims expired loans.
     pub fn prune(&mut self, now: u64) {
         self.loans.reclaim(now);
-        for name in self.table.prune(now.saturating_sub(REMEMBER)) {
+        for name in self.table.prune(now.saturating_sub(RETENTION)) {
             for names in self.services.values_mut() {
                 names.retain(|other| *other != name);
             }
@@ -133,25 +137,26 @@
         self.services.retain(|_, names| !names.is_empty());
     }
 
-    /// Whether any upstream of the service is known, could hold `needs`, and is open now.
+    /// Whether any upstream of the service is known, has the resources for `needs`, and is open at
+    /// `now`.
     pub fn reach(&self, service: &name::Name, needs: &Needs, now: u64) -> Reach {
         let mut reach = Reach::Nobody;
-        for leased in self.of(service) {
+        for leased in self.upstreams_of(service) {
             let fits = leased.info.room.is_none_or(|room| needs.fits(&room));
-            let rank = match (fits, leased.is_open(now)) {
+            let level = match (fits, leased.is_open(now)) {
                 (true, true) => return Reach::Open,
                 (true, false) => Reach::Closed,
                 (false, _) => Reach::Unfit,
             };
-            reach = reach.max(rank);
+            reach = reach.max(level);
         }
         reach
     }
 
-    /// Slots of the service that this instance may use.
+    /// Counts the slots of a service.
     pub fn room(&self, service: &name::Name, now: u64) -> Room {
         let mut room = Room::default();
-        for leased in self.of(service).filter(|leased| leased.is_open(now)) {
+        for leased in self.upstreams_of(service).filter(|leased| leased.is_open(now)) {
             let allowed = self.allowed(leased, now);
             let load = self.loads.get(&leased.info.name);
             room.total += leased.info.slots;
@@ -163,7 +168,8 @@
         room
     }
 
-    /// Chooses an upstream for a task; nothing if none has a free slot that this instance may use.
+    /// Picks an upstream for a task; `None` if no upstream has a free slot that this instance may
+    /// use. `avoid` is picked only if it is the sole candidate.
     pub fn pick(
         &mut self,
         service: &name::Name,
@@ -172,7 +178,7 @@
         now: u64,
     ) -> Option<name::Name> {
         let names = self.services.get(service)?;
-        let mut places = smallvec::SmallVec::<[usize; 64]>::new();
+        let mut indices = smallvec::SmallVec::<[usize; 64]>::new();
         let mut candidates = smallvec::SmallVec::<[place::Candidate; 64]>::new();
         for (at, name) in names.iter().enumerate() {
             let leased = self.table.get(name.as_str()).filter(|leased| leased.is_open(now));
@@ -184,30 +190,30 @@
             let slots = self.allowed(leased, now);
             let outstanding = load.outstanding;
             if outstanding < slots && load.health.admits(outstanding, now) {
-                places.push(at);
+                indices.push(at);
                 candidates.push(place::Candidate { outstanding, slots, mean: load.health.mean });
             }
         }
-        if places.len() > 1
-            && let Some(at) = places.iter().position(|at| Some(&names[*at]) == avoid)
+        if indices.len() > 1
+            && let Some(at) = indices.iter().position(|at| Some(&names[*at]) == avoid)
         {
-            places.swap_remove(at);
+            indices.swap_remove(at);
             candidates.swap_remove(at);
         }
-        if places.is_empty() {
+        if indices.is_empty() {
             return None;
         }
         let at = self.placer.pick(&candidates, &mut self.rng);
-        Some(names[places[at]].clone())
+        Some(names[indices[at]].clone())
     }
 
-    /// A task goes to the upstream; gives its address.
+    /// Records the start of a task at an upstream; returns the address of the upstream.
     pub fn start(&mut self, upstream: &name::Name) -> Option<name::Name> {
         self.loads.entry(upstream.clone()).or_default().outstanding += 1;
         self.table.get(upstream.as_str()).map(|leased| leased.info.address.clone())
     }
 
-    /// A task came back from the upstream.
+    /// Records the end of a task at an upstream.
     pub fn finish(&mut self, upstream: &name::Name, end: End, now: u64) {
         let Some(load) = self.loads.get_mut(upstream) else {
             return;
@@ -229,7 +235,8 @@
         }
     }
 
-    /// Lends up to `count` idle slots of a service to a peer, keeping a reserve.
+    /// Lends up to `count` idle slots of a service to a peer; keeps part of them in
+    /// reserve.
     pub fn lend(
         &mut self,
         to: &name::Name,
@@ -238,71 +245,73 @@
         now: u64,
     ) -> Vec<(name::Name, u32)> {
         let idle = |leased: &Leased| {
-            let free = self.own(leased).saturating_sub(self.outstanding(leased.info.name.as_str()));
+            let free =
+                self.own_slots(leased).saturating_sub(self.outstanding(leased.info.name.as_str()));
             (leased.info.name.clone(), free)
         };
-        let open = self.of(service).filter(|leased| leased.is_open(now));
+        let open = self.upstreams_of(service).filter(|leased| leased.is_open(now));
         let idle: Vec<_> = open.map(idle).filter(|(_, free)| *free > 0).collect();
         let total: u32 = idle.iter().map(|(_, free)| free).sum();
-        let mut left = count.min(total - total / RESERVE);
+        let mut remaining = count.min(total - total / RESERVE_DIVISOR);
         let mut slots = Vec::new();
         for (name, free) in idle {
-            let part = free.min(left);
-            if part > 0 {
-                left -= part;
-                self.loans.lend(to, &name, part, now);
-                slots.push((name, part));
+            let lent = free.min(remaining);
+            if lent > 0 {
+                remaining -= lent;
+                self.loans.lend(to, &name, lent, now);
+                slots.push((name, lent));
             }
         }
         slots
     }
 
-    /// Slots of a service that are borrowed from a peer.
+    /// Number of slots of a service that are borrowed from a peer.
     pub fn held(&self, from: &name::Name, service: &name::Name) -> u32 {
-        self.loans.held(from, |upstream| self.runs(upstream, service))
+        self.loans.held(from, |upstream| self.serves(upstream, service))
     }
 
-    /// A peer says how many slots of a service it holds from here: the rest of what was lent to
-    /// it never arrived.
+    /// Reconciles the loans with the number of slots that a peer reports as borrowed. Grants beyond
+    /// that number never reached the peer, and their slots are taken back.
     pub fn settle_loans(&mut self, to: &name::Name, service: &name::Name, held: u32) {
         let mut loans = std::mem::take(&mut self.loans);
-        loans.settle(to, held, |upstream| self.runs(upstream, service));
+        loans.settle(to, held, |upstream| self.serves(upstream, service));
         self.loans = loans;
     }
 
-    fn runs(&self, upstream: &name::Name, service: &name::Name) -> bool {
+    fn serves(&self, upstream: &name::Name, service: &name::Name) -> bool {
         self.table.get(upstream.as_str()).is_some_and(|leased| leased.info.service == *service)
     }
 
-    /// Takes borrowed slots.
+    /// Records slots borrowed from a peer; `asked` is the time of the request.
     pub fn borrow(&mut self, from: &name::Name, slots: &[(name::Name, u32)], asked: u64) {
         for (upstream, count) in slots {
             self.loans.borrow(from, upstream, *count, asked);
         }
     }
 
-    /// Takes back slots that a peer returns.
+    /// Takes back the slots that a peer returns.
     pub fn returned(&mut self, by: &name::Name, slots: &[(name::Name, u32)]) {
         for (upstream, count) in slots {
             self.loans.returned(by, upstream, *count);
         }
     }
 
-    /// Gives back borrowed slots that are idle, by lender.
+    /// Removes the idle borrowed slots and returns them, grouped by lender.
     pub fn give_back(&mut self) -> collections::BTreeMap<name::Name, Vec<(name::Name, u32)>> {
         let idle = |leased: &Leased| {
             let name = &leased.info.name;
             let borrowed = self.loans.borrowed(name, 0);
             let free =
-                (self.own(leased) + borrowed).saturating_sub(self.outstanding(name.as_str()));
+                (self.own_slots(leased) + borrowed).saturating_sub(self.outstanding(name.as_str()));
             (name.clone(), free.min(borrowed))
         };
         let idle: collections::HashMap<_, _> = self.table.iter().map(idle).collect();
-        // Loans on an upstream that is forgotten are of no use to anybody here.
+        // Slots borrowed on an upstream that is no longer in the table are unusable here, so all
+        // of them are returned.
         self.loans.give_back(|name| idle.get(name).copied().unwrap_or(u32::MAX))
     }
 
-    fn of(&self, service: &name::Name) -> impl Iterator<Item = &Leased> {
+    fn upstreams_of(&self, service: &name::Name) -> impl Iterator<Item = &Leased> {
         let names = self.services.get(service).into_iter().flatten();
         names.filter_map(|name| self.table.get(name.as_str()))
     }
@@ -312,26 +321,27 @@
         match self.rank {
             _ if !self.trial.shares => slots,
             Some((rank, count)) => share::share(leased.info.name.as_str(), slots, rank, count),
-            // Alone, with no membership to go by: only idempotent requests come here.
+            // An instance that is no live member starts only idempotent requests. It cannot compute
+            // its share and uses one slot.
             None => slots.min(1),
         }
     }
 
-    /// Own slots less those lent.
-    fn own(&self, leased: &Leased) -> u32 {
+    /// Slots of this instance's own share that are not lent.
+    fn own_slots(&self, leased: &Leased) -> u32 {
         self.share_of(leased).saturating_sub(self.loans.lent(&leased.info.name))
     }
 
     fn allowed(&self, leased: &Leased, now: u64) -> u32 {
-        self.own(leased) + self.loans.borrowed(&leased.info.name, now)
+        self.own_slots(leased) + self.loans.borrowed(&leased.info.name, now)
     }
 
-    /// At most half of a service's open upstreams are ejected at a time.
+    /// Whether a further ejection leaves at most half of the service's open upstreams ejected.
     fn may_eject(&self, upstream: &name::Name, now: u64) -> bool {
         let Some(service) = self.table.get(upstream.as_str()).map(|l| &l.info.service) else {
             return false;
         };
-        let open = self.of(service).filter(|leased| leased.is_open(now));
+        let open = self.upstreams_of(service).filter(|leased| leased.is_open(now));
         let (mut count, mut ejected) = (0, 0);
         for leased in open {
             count += 1;
@@ -341,28 +351,28 @@
     }
 }
 
-/// Whether a service's upstreams could take a task, from worst to best.
+/// Ability of a service's upstreams to take a task, from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reach {
     /// No upstream of the service is known.
     Nobody,
-    /// None that is known could ever hold the task.
+    /// No known upstream has the resources for the task.
     Unfit,
-    /// One could hold it, but takes no work now.
+    /// At least one upstream has the resources for the task, but none of them is open.
     Closed,
-    /// One could hold it and takes work.
+    /// An open upstream has the resources for the task.
     Open,
 }
 
-/// How a task came back, as far as the upstream's health goes.
+/// How a task ended, for the health of its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Answered after so many microseconds.
+    /// The upstream answered after this service time, microseconds.
     Answered(u64),
-    /// Refused for want of room.
+    /// The upstream refused the task for lack of capacity.
     Full,
-    /// Failed, or could not be reached.
+    /// The task failed, or the upstream could not be reached.
     Failed,
-    /// Says nothing about the upstream.
+    /// The end gives no information on the health of the upstream.
     Neutral,
 }
--- a/crates/coord/src/groups.rs
+++ b/crates/coord/src/groups.rs
@@ -1,25 +1,27 @@
-//! The groups that an instance belongs to, and with which seats.
+//! The replicated groups of an instance, with their voters and timing.
 
 use state::name;
 
 use crate::{config::Config, group, machine, member, message, raft, time};
 
-/// Intervals of the settings: they stand a slow disk, as a leader that is lost costs a change only.
+/// Timing of the settings group. The intervals tolerate a slow disk, because the loss of a leader
+/// affects only changes of the settings.
 const SETTINGS_TIMING: raft::Timing =
     raft::Timing { heartbeat: 400 * time::MS, election: 1_200 * time::MS, lease: 1_000 * time::MS };
-/// Intervals of a journal: no job is admitted while it has no leader.
+/// Timing of a journal. The intervals are short, because no job is admitted while the journal has
+/// no leader.
 const JOURNAL_TIMING: raft::Timing =
     raft::Timing { heartbeat: 150 * time::MS, election: 600 * time::MS, lease: 500 * time::MS };
 
-/// The group of the settings, at this instance.
+/// Creates this instance's member of the settings group.
 pub(crate) fn settings(config: &Config) -> group::Group<machine::Settings> {
     let seats = member::settings_seats(&config.all);
     let me = &config.me.name;
     let votes = seats.contains(me) && config.disk.is_some();
-    let life = if votes { config.disk } else { None };
+    let incarnation = if votes { config.disk } else { None };
     let group = group::Config {
         group: message::Group::Settings,
-        me: name::Member::new(me, life.unwrap_or(config.life)),
+        me: name::Member::new(me, incarnation.unwrap_or(config.life)),
         others: others(config, &seats),
         seats,
         timing: SETTINGS_TIMING,
@@ -31,7 +33,7 @@
     group::Group::new(group, machine::Settings::default(), config.seed ^ 1)
 }
 
-/// The journal of a zone, at this instance.
+/// Creates this instance's member of a zone's journal.
 pub(crate) fn journal(config: &Config, zone: &name::Name) -> group::Group<machine::Journal> {
     let seats = member::journal_seats(&config.all, zone);
     let home = config.all.iter().filter(|i| i.zone == *zone && !seats.contains(&i.name));
@@ -54,7 +56,7 @@
     rest.map(|instance| instance.name.clone()).collect()
 }
 
-/// Other zones in whose journal this instance votes.
+/// Other zones in whose journal this instance is a voter.
 pub(crate) fn witnessed(config: &Config) -> Vec<name::Name> {
     let zones = member::zones(&config.all).into_iter().filter(|zone| *zone != config.me.zone);
     let votes =
--- a/crates/coord/src/health.rs
+++ b/crates/coord/src/health.rs
@@ -1,111 +1,116 @@
-//! Health of upstreams: observed service times, ejection of those that fail what they start, and
-//! a slow start when they return.
+//! Health of upstreams: observed service times, ejection after repeated failures, and a slow start
+//! after an ejection.
 
 use crate::time;
 
-/// Failures in a row after which an upstream is ejected.
+/// Number of consecutive failures after which an upstream is ejected.
 pub const EJECT_AFTER: u32 = 4;
-/// First ejection, microseconds; each further one is twice as long.
-const EJECTION: u64 = 2_000 * time::MS;
-/// Longest ejection, microseconds.
+/// Duration of the first ejection, microseconds; each further one lasts twice as long.
+const FIRST_EJECTION: u64 = 2_000 * time::MS;
+/// Upper bound on the duration of an ejection, microseconds.
 const MAX_EJECTION: u64 = 60_000 * time::MS;
-/// After a refusal for want of room nothing is sent for this long, microseconds.
+/// Time without new tasks after an upstream refused one for lack of capacity, microseconds.
 const FULL_PAUSE: u64 = 20 * time::MS;
-/// Weight of the latest service time in the moving average.
-const WEIGHT: f64 = 0.2;
+/// Weight of the latest service time in the exponential moving average.
+const MEAN_WEIGHT: f64 = 0.2;
 
-/// What is observed of one upstream.
+/// Observed health of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    /// Moving average of service times, microseconds; 0 before the first.
+    /// Moving average of the service times, microseconds; 0 before the first one.
     pub mean: f64,
     failures: u32,
     ejections: u32,
-    until: u64,
-    paused: u64,
-    /// Most tasks at a time while it proves itself again; 0 = no limit.
-    limit: u32,
+    ejected_until: u64,
+    paused_until: u64,
+    /// Limit on concurrent tasks during the slow start after an ejection; 0 means no limit.
+    start_limit: u32,
 }
 
 impl Health {
-    /// A task was answered after `took` microseconds.
+    /// Records an answer after `took` microseconds.
     pub fn succeeded(&mut self, took: u64) {
         let took = took as f64;
-        self.mean = if self.mean == 0.0 { took } else { self.mean + WEIGHT * (took - self.mean) };
+        self.mean =
+            if self.mean == 0.0 { took } else { self.mean + MEAN_WEIGHT * (took - self.mean) };
         self.failures = 0;
-        if self.limit > 0 {
-            self.limit *= 2;
+        if self.start_limit > 0 {
+            self.start_limit *= 2;
         }
-        if self.limit > 64 {
-            self.limit = 0;
+        if self.start_limit > 64 {
+            self.start_limit = 0;
             self.ejections = 0;
         }
     }
 
-    /// A task failed. Tells whether the upstream has failed enough in a row to be ejected.
+    /// Records a failure; returns whether the upstream is due for ejection: after
+    /// [`EJECT_AFTER`] failures in a row, or after any failure during the slow start.
     pub fn failed(&mut self) -> bool {
         self.failures += 1;
-        self.failures >= EJECT_AFTER || self.limit > 0
+        self.failures >= EJECT_AFTER || self.start_limit > 0
     }
 
     /// Ejects the upstream.
     pub fn eject(&mut self, now: u64) {
-        let length = EJECTION.saturating_mul(1 << self.ejections.min(5)).min(MAX_EJECTION);
-        self.until = now + length;
+        let duration = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(5)).min(MAX_EJECTION);
+        self.ejected_until = now + duration;
         self.ejections += 1;
         self.failures = 0;
-        self.limit = 1;
+        self.start_limit = 1;
     }
 
-    /// The upstream refused a task for want of room.
+    /// Records that the upstream refused a task for lack of capacity.
     pub fn full(&mut self, now: u64) {
-        self.paused = now + FULL_PAUSE;
+        self.paused_until = now + FULL_PAUSE;
     }
 
     /// Whether the upstream is ejected.
     pub fn is_ejected(&self, now: u64) -> bool {
-        now < self.until
+        now < self.ejected_until
     }
 
-    /// Whether a further task may go there beside `outstanding` ones.
+    /// Whether the upstream may get a further task while it has `outstanding` ones.
     pub fn admits(&self, outstanding: u32, now: u64) -> bool {
-        !self.is_ejected(now) && now >= self.paused && (self.limit == 0 || outstanding < self.limit)
+        !self.is_ejected(now)
+            && now >= self.paused_until
+            && (self.start_limit == 0 || outstanding < self.start_limit)
     }
 }
 
-/// The latest service times of a service, for quantiles.
+/// The latest service times of a service, for means and quantiles.
 #[derive(Clone, Debug, Default)]
 pub struct Times {
-    ring: Vec<u64>,
-    at: usize,
+    samples: Vec<u64>,
+    next: usize,
 }
 
 impl Times {
-    const LENGTH: usize = 256;
+    const CAPACITY: usize = 256;
 
-    /// Notes one service time, microseconds.
+    /// Records one service time, microseconds.
     pub fn note(&mut self, took: u64) {
-        if self.ring.len() < Self::LENGTH {
-            self.ring.push(took);
+        if self.samples.len() < Self::CAPACITY {
+            self.samples.push(took);
         } else {
-            self.ring[self.at] = took;
+            self.samples[self.next] = took;
         }
-        self.at = (self.at + 1) % Self::LENGTH;
+        self.next = (self.next + 1) % Self::CAPACITY;
     }
 
-    /// Mean of the latest times; nothing before the first.
+    /// Mean of the latest service times, microseconds; `None` before the first one.
     pub fn mean(&self) -> Option<u64> {
-        let count = self.ring.len() as u64;
-        (count > 0).then(|| self.ring.iter().sum::<u64>() / count)
+        let count = self.samples.len() as u64;
+        (count > 0).then(|| self.samples.iter().sum::<u64>() / count)
     }
 
-    /// A quantile of the latest times; nothing before there are enough to tell.
+    /// A quantile of the latest service times, microseconds; `None` before there are enough of
+    /// them.
     pub fn quantile(&self, share: f64) -> Option<u64> {
-        const ENOUGH: usize = 20;
-        if self.ring.len() < ENOUGH {
+        const MIN_SAMPLES: usize = 20;
+        if self.samples.len() < MIN_SAMPLES {
             return None;
         }
-        let mut sorted = self.ring.clone();
+        let mut sorted = self.samples.clone();
         sorted.sort_unstable();
         let at = ((sorted.len() - 1) as f64 * share) as usize;
         sorted.get(at).copied()
--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -1,23 +1,24 @@
-//! The decisions of an instance, without I/O, clocks or threads.
+//! Coordination logic of an instance, without I/O, clocks or threads.
 //!
-//! A [`Core`] is told what happens ([`event::Event`]) and when ([`time::Now`]), and says what to do
-//! ([`event::Output`]): send a message, start a task, store a change, answer a ticket. Everything
-//! else, sockets and disks and threads, belongs to the program around it. The daemon is one such
-//! program; a test that plays a whole zone in one thread is another.
+//! A [`Core`] is a state machine. It takes an event ([`event::Event`]) and the time
+//! ([`time::Now`]), and returns the actions to carry out ([`event::Output`]): send a message, start
+//! a task, store a change, reply to a ticket. The embedding program provides sockets, disks and
+//! threads. The daemon is one such program; a test that simulates a whole zone in one thread is
+//! another.
 //!
-//! What is inside, from the bottom up:
+//! The modules, from the bottom up:
 //!
 //! - [`log`], [`entry`] and [`raft`]: a consensus engine (Ongaro 2014) with leases and learners.
-//! - [`form`] and [`group`]: how a group comes to be, and a member's part in it.
+//! - [`form`] and [`group`]: the formation of a replicated group, and one member of it.
 //! - [`machine`]: the two replicated state machines, settings and a zone's journal.
-//! - [`fleet`], [`share`], [`place`] and [`health`]: which upstream gets the next task.
-//! - [`queue`] and [`retry`]: order of waiting tasks, and how often to try again.
-//! - [`core`]: all of it together, and the life cycle of a job.
+//! - [`fleet`], [`share`], [`place`] and [`health`]: the choice of the upstream for a task.
+//! - [`queue`] and [`retry`]: the order of waiting tasks, and the retry budget.
+//! - [`core`]: the state machine of an instance, and the life cycle of a job.
 //!
 //! # Embedding
 //!
-//! One instance alone, with a service, an upstream and a job. The program plays the disk and the
-//! upstream itself:
+//! This example runs a single instance with one service, one upstream and one job. It simulates
+//! the disk and the upstream:
 //!
 //! ```
 //! use coord::{Core, config, core, event, group, member, message, mirror, time};
@@ -37,9 +38,9 @@
 //! let mut core = Core::new(config, group::Recovered::default(), clock);
 //! let mut disk = mirror::Mirror::default();
 //!
-//! // Gives one event to the core, plays the disk, and collects everything else.
+//! // Passes one event to the core, simulates the disk, and collects all other outputs.
 //! let mut step = |core: &mut Core, event: event::Event, clock: time::Now| {
-//!     let mut rest = Vec::new();
+//!     let mut others = Vec::new();
 //!     let mut queue = core.handle(event, clock);
 //!     while let Some(output) = queue.pop() {
 //!         match output {
@@ -47,10 +48,10 @@
 //!                 disk.apply(save);
 //!                 queue.extend(core.handle(event::Event::Saved(number), clock));
 //!             }
-//!             other => rest.push(other),
+//!             other => others.push(other),
 //!         }
 //!     }
-//!     rest
+//!     others
 //! };
 //!
 //! while !core.is_ready() {
@@ -94,7 +95,7 @@
 //! });
 //! let start = start.expect("the only slot is free");
 //!
-//! // The program has called the upstream and has its answer.
+//! // The program has called the upstream and received its answer.
 //! let answer = message::Answer { body: "49".into(), content: start.content.clone() };
 //! let done = event::Done {
 //!     task: start.task,
--- a/crates/coord/src/message.rs
+++ b/crates/coord/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, as the core sees them.
+//! Messages between instances, after decoding.
 
 use state::{id, name, table, upstream};
 
@@ -17,7 +17,7 @@
 
 /// Identity of one formation of a group.
 ///
-/// Ids minted before [`Self::at`] are not run by the group.
+/// The group does not run jobs whose id was minted before [`Self::at`].
 #[derive(
     Clone,
     Copy,
@@ -32,33 +32,33 @@
     serde::Deserialize,
 )]
 pub struct Formation {
-    /// Wall clock of the forming instance with the allowance for skew added, in milliseconds.
+    /// Wall clock of the forming instance plus the clock skew allowance, in milliseconds.
     pub at: u64,
     /// Incarnation of the forming instance.
     pub by: u64,
 }
 
-/// One message between two instances.
+/// A message between two instances.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Body {
-    /// Part of a group's formation, from the given incarnation of the sender.
+    /// A formation message of a group, with the sender's incarnation.
     Form(Group, u64, Form),
-    /// Part of a formed group's agreement.
+    /// A consensus message within a formed group.
     Raft(Group, Route, Raft),
     /// A command for the leader of a group.
     Propose(Group, Route, bytes::Bytes),
-    /// A job or an answer on its way between instances.
+    /// A call about a job, or the answer to one.
     Job(Job),
-    /// News of the upstream table.
+    /// An update or a query of the upstream table or the settings.
     Table(Table),
-    /// Lending of slots.
+    /// A request for slots, a grant, or a return.
     Loan(Loan),
-    /// Is somebody there? (`true` asks, `false` answers.)
+    /// Liveness probe: `true` is the request, `false` the response.
     Ping(bool),
 }
 
 impl Body {
-    /// Short name of the kind, for counting.
+    /// Short name of the message kind, for counters.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Form(..) => "form",
@@ -75,7 +75,7 @@
     }
 }
 
-/// Which formation a message belongs to, and which incarnations it goes between.
+/// The formation that a message belongs to, and the incarnations of its sender and receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Route {
     /// The formation.
@@ -86,23 +86,23 @@
     pub to: u64,
 }
 
-/// Formation of a group (see [`crate::group`]).
+/// Messages that form a group (see [`crate::group`]).
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Form {
-    /// Who is there and which formation do you belong to? With the sender's own.
+    /// Asks for the receiver's formation. It carries the sender's formation, if it has one.
     Probe(Option<Formation>),
     /// The sender's formation, if it has one, and whether it voted in it.
     Found(Option<Formation>),
-    /// Will you belong to this formation?
+    /// Asks the receiver to join this formation.
     Ask(Formation),
-    /// The sender, which belongs to none, will.
+    /// The sender, which belongs to no formation, agrees to join this one.
     Grant(Formation),
 }
 
-/// Agreement inside a formed group (Ongaro 2014).
+/// Consensus messages within a formed group (Ongaro 2014).
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Raft {
-    /// Would you vote for me, or (not `pre`) do you?
+    /// Asks for a vote, or for a pre-vote if `pre` is set.
     Vote {
         /// Term of the election.
         term: u64,
@@ -110,19 +110,19 @@
         last: u64,
         /// Term at that index.
         last_term: u64,
-        /// Whether this only asks (Ongaro 2014, section 9.6).
+        /// Whether this is a pre-vote (Ongaro 2014, section 9.6).
         pre: bool,
     },
     /// Answer to [`Self::Vote`].
     Voted {
-        /// Term that the answer is for, or a higher one that the voter knows.
+        /// Term that the answer is for, or a higher term known to the voter.
         term: u64,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
-        /// As in the question.
+        /// Copied from the request.
         pre: bool,
     },
-    /// Entries, or a heartbeat.
+    /// Appends log entries; a message without entries is a heartbeat.
     Append {
         /// Term of the leader.
         term: u64,
@@ -132,11 +132,11 @@
         prev_term: u64,
         /// Commit index of the leader.
         commit: u64,
-        /// Entries.
+        /// Log entries.
         entries: Vec<entry::Entry>,
         /// Clock of the leader when it sent this, microseconds.
         sent: u64,
-        /// The receiver's clock as the leader last heard it; 0 grants no lease.
+        /// The receiver's clock as the leader last received it; 0 grants no lease.
         echo: u64,
     },
     /// Answer to [`Self::Append`] and [`Self::Snapshot`].
@@ -145,14 +145,14 @@
         term: u64,
         /// Whether the log matched.
         success: bool,
-        /// Last matching index, or where to try next.
+        /// Last matching index, or the index to retry from if the log did not match.
         index: u64,
-        /// As in the question.
+        /// Copied from the request.
         sent: u64,
         /// Clock of the follower, microseconds.
         stamp: u64,
     },
-    /// The whole state, for a follower whose log is too far behind.
+    /// Installs the whole state at a follower whose log is too far behind.
     Snapshot {
         /// Term of the leader.
         term: u64,
@@ -167,7 +167,7 @@
         /// Clock of the leader when it sent this.
         sent: u64,
     },
-    /// Leadership is handed to the receiver: stand for election now.
+    /// Hands leadership over to the receiver, which is to start an election at once.
     Stand {
         /// Term of the leader.
         term: u64,
@@ -175,7 +175,7 @@
 }
 
 impl Raft {
-    /// The term that the message names.
+    /// Term of the message.
     pub fn term(&self) -> u64 {
         match self {
             Self::Vote { term, .. }
@@ -198,33 +198,33 @@
     }
 }
 
-/// A submission with all that is needed to run it.
+/// A submitted job or request, with everything that is needed to run it.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Spec {
     /// The job.
     pub job: id::JobId,
     /// Path of its service.
     pub service: name::Name,
-    /// Team whose quota it counts against.
+    /// Team whose quota the job counts against.
     pub team: Option<name::Name>,
-    /// Time that is left for it, milliseconds from now; 0 takes the service's default.
+    /// Remaining time until the deadline, milliseconds; 0 selects the service's default.
     pub left_ms: u64,
-    /// Whether tasks are safe to run again.
+    /// Whether the tasks may safely run more than once.
     pub idempotent: bool,
-    /// What one task needs.
+    /// Resources that one task needs.
     pub needs: upstream::Needs,
     /// Payload of each task.
     pub tasks: Vec<bytes::Bytes>,
     /// Content type of the payloads.
     pub content: name::Name,
-    /// Whether the answer is passed back as it is (a request, not a job).
+    /// Whether the client gets the upstream's answer unchanged (a request, not a job).
     pub raw: bool,
     /// W3C trace context of the submission.
     pub trace: name::Name,
 }
 
 impl Spec {
-    /// Digest of what makes two submissions the same.
+    /// Digest of the content by which two submissions with the same id are compared.
     pub fn digest(&self) -> table::Digest {
         let parts = (&self.service, &self.team, &self.needs, &self.tasks, self.idempotent);
         let bytes = postcard::to_stdvec(&parts).unwrap_or_default();
@@ -235,7 +235,7 @@
 /// One task's answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Answer {
-    /// Body as the upstream sent it.
+    /// Body, unchanged as the upstream sent it.
     pub body: bytes::Bytes,
     /// Its content type.
     pub content: name::Name,
@@ -244,15 +244,15 @@
 /// Why a job was refused before anything started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Refusal {
-    /// Malformed or beyond a limit that no retry changes.
+    /// The submission is malformed or exceeds a limit, so a retry cannot succeed.
     Malformed,
-    /// The same id with other content.
+    /// The id was already used with other content.
     Conflict,
-    /// The service was never set.
+    /// No settings exist for the service.
     NoService,
-    /// No upstream could ever hold such a task.
+    /// No known upstream has the resources for such a task.
     Impossible,
-    /// The team is at its quota.
+    /// The team has reached its quota.
     Quota,
     /// The queue is full, or the deadline cannot be met.
     Overload,
@@ -262,14 +262,14 @@
     Draining,
     /// The submission is too large.
     TooLarge,
-    /// It was not started in time.
+    /// No task was started before the deadline.
     Expired,
     /// No such job was ever submitted.
     NoJob,
 }
 
 impl Refusal {
-    /// Short name, for counting.
+    /// Short name of the refusal, for counters.
     pub fn name(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -287,12 +287,12 @@
     }
 }
 
-/// The final word on one attempt of a submission.
+/// The result of one attempt of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Verdict {
     /// One answer per task, in task order.
     Complete(Vec<Answer>),
-    /// Final; some tasks may have run.
+    /// The job has failed for good; some tasks may have run.
     Failed {
         /// The reason.
         why: String,
@@ -305,141 +305,144 @@
         kind: Refusal,
         /// The reason.
         why: String,
-        /// When to come back, in milliseconds; 0 = it would not help.
+        /// Delay before a retry, in milliseconds; 0 means that a retry would not help.
         retry_ms: u64,
     },
-    /// This instance cannot tell.
+    /// This instance does not know the outcome.
     Unknown {
         /// The reason.
         why: String,
     },
-    /// Not ended yet.
+    /// The job has not ended yet.
     Running,
 }
 
 impl Verdict {
-    /// A refusal.
+    /// Creates a [`Self::NotRun`] verdict.
     pub fn refuse(kind: Refusal, why: impl Into<String>, retry_ms: u64) -> Self {
         Self::NotRun { kind, why: why.into(), retry_ms }
     }
 
-    /// A failure that is not about the deadline.
+    /// Creates a [`Self::Failed`] verdict with a reason other than the deadline.
     pub fn failed(why: impl Into<String>) -> Self {
         Self::Failed { why: why.into(), late: false }
     }
 
-    /// "Cannot tell."
+    /// Creates a [`Self::Unknown`] verdict.
     pub fn unknown(why: impl Into<String>) -> Self {
         Self::Unknown { why: why.into() }
     }
 }
 
-/// Jobs and answers between instances.
+/// Calls about jobs between instances, and their answers.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Job {
-    /// Submit this in your zone and answer with [`Self::Verdict`] to `call`.
+    /// Asks the receiver to submit the job in its zone and to answer `call` with
+    /// [`Self::Verdict`].
     Forward {
         /// Number of the call, chosen by the sender.
         call: u64,
         /// The submission.
         spec: Spec,
     },
-    /// Start the tasks of this admitted job of another zone on your own upstreams, once.
+    /// Asks the receiver to start the tasks of a job, which another zone has admitted, once on the
+    /// upstreams of its own zone.
     Execute {
         /// Number of the call.
         call: u64,
         /// The job.
         spec: Spec,
     },
-    /// Tell `call` how the job ended, once it has.
+    /// Asks the receiver for the verdict on a job, once the job has ended.
     Await {
         /// Number of the call.
         call: u64,
         /// The job.
         job: id::JobId,
-        /// Whether to wait for the end, or to say `Running`.
+        /// Whether the receiver waits for the end of a job in progress, or answers
+        /// [`Verdict::Running`] at once.
         wait: bool,
     },
-    /// Tell `call` the answers of this job, which is complete, if you keep them.
+    /// Asks for the answers of a completed job, if the receiver keeps them.
     Fetch {
         /// Number of the call.
         call: u64,
         /// The job.
         job: id::JobId,
     },
-    /// Cancel the job and tell `call` whether it is known.
+    /// Asks the receiver to cancel a job and to answer whether the job is known.
     Cancel {
         /// Number of the call.
         call: u64,
         /// The job.
         job: id::JobId,
     },
-    /// Answer to a call.
+    /// The answer to a call.
     Verdict {
         /// Number of the call.
         call: u64,
         /// The answer.
         verdict: Verdict,
     },
-    /// Keep this answer for resubmissions.
+    /// Asks the receiver to keep the answers for resubmissions.
     Copy {
         /// The job.
         job: id::JobId,
-        /// Its answers.
+        /// Answers of the job, in task order.
         answers: Vec<Answer>,
     },
-    /// The copy is kept.
+    /// Confirms that the sender keeps the answers.
     Copied {
         /// The job.
         job: id::JobId,
     },
-    /// The sender shuts down; it is not to be let in again.
+    /// The sender is shutting down and must not be admitted as a member again.
     Leaving {
-        /// Its incarnation.
+        /// Incarnation of the sender.
         life: u64,
     },
 }
 
-/// News of the upstream table.
+/// Updates and queries of the upstream table and the settings.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Table {
-    /// Announcements, each with what is left of its lease in milliseconds.
+    /// Announcements, each with the remaining time of its lease in milliseconds.
     Changed(Vec<(upstream::Upstream, u64)>),
-    /// Renewed leases: digest of the name, stamp, what is left in milliseconds.
+    /// Renewed leases: digest of the upstream's name, stamp, remaining time in milliseconds.
     Renewed(Vec<(u32, u64, u32)>),
-    /// Send me the whole table.
+    /// Asks for the whole table.
     Ask,
-    /// Send me the settings as you have them.
+    /// Asks for the receiver's copy of the settings.
     AskSettings,
-    /// The settings as the sender has them, encoded.
+    /// The sender's copy of the settings, encoded.
     Settings(bytes::Bytes),
 }
 
-/// Lending of slots between the instances of a zone.
+/// Messages that lend slots between the instances of a zone.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Loan {
-    /// Lend me up to `count` slots of this service.
+    /// Asks for a loan of up to `count` slots of a service.
     Ask {
         /// Path of the service.
         service: name::Name,
-        /// Slots wanted.
+        /// Number of slots requested.
         count: u32,
-        /// Number of the question; the grant repeats it.
+        /// Number of the request; the grant repeats it.
         number: u64,
-        /// Slots of the service that the sender holds from the receiver. What the receiver has
-        /// lent beyond that was lost on the way.
+        /// Number of slots of the service that the sender has borrowed from the receiver. Grants
+        /// of the receiver beyond that number were lost in transit.
         held: u32,
     },
-    /// Slots lent, by upstream.
+    /// Grants slots, by upstream.
     Grant {
         /// Path of the service.
         service: name::Name,
-        /// Number of the question. A late grant is sent back.
+        /// Number of the request. The borrower returns the slots of a late grant.
         number: u64,
         /// Upstream and number of its slots.
         slots: Vec<(name::Name, u32)>,
     },
-    /// Slots given back, by upstream.
+    /// Returns borrowed slots, by upstream.
     Return {
         /// Upstream and number of its slots.
         slots: Vec<(name::Name, u32)>,
--- a/crates/coord/src/news.rs
+++ b/crates/coord/src/news.rs
@@ -1,5 +1,5 @@
-//! News that spreads among the instances of a zone: upstreams with their leases, and settings for
-//! an instance that cannot get them from the group.
+//! Exchange between the instances of a zone: upstreams with their leases, and the settings for an
+//! instance that cannot reach the settings group.
 
 use state::{id, name, upstream};
 
@@ -21,9 +21,9 @@
         let changed = self.fleet.put(info.clone(), now.after(lease));
         self.dirty.insert(info.service.clone());
         if changed {
-            let news = message::Table::Changed(vec![(info, lease)]);
+            let update = message::Table::Changed(vec![(info, lease)]);
             for to in self.neighbours() {
-                self.send(&to, Body::Table(news.clone()));
+                self.send(&to, Body::Table(update.clone()));
             }
         } else {
             self.renewals.insert(id::short(info.name.as_str()), stamp);
@@ -41,17 +41,17 @@
         self.out.push(Output::Reply(ticket, Reply::Withdrawn));
     }
 
-    pub(crate) fn on_table(&mut self, from: &name::Name, news: message::Table, now: Now) {
-        match news {
+    pub(crate) fn on_table(&mut self, from: &name::Name, update: message::Table, now: Now) {
+        match update {
             message::Table::Changed(list) => {
-                for (info, left) in list {
+                for (info, remaining) in list {
                     self.dirty.insert(info.service.clone());
-                    self.fleet.put(info, now.after(left));
+                    self.fleet.put(info, now.after(remaining));
                 }
             }
             message::Table::Renewed(list) => {
-                let renew = |(short, stamp, left): &(u32, u64, u32)| {
-                    self.fleet.renew(*short, *stamp, now.after(u64::from(*left)))
+                let renew = |(short, stamp, remaining): &(u32, u64, u32)| {
+                    self.fleet.renew(*short, *stamp, now.after(u64::from(*remaining)))
                 };
                 let known = list.iter().map(renew).filter(|known| *known).count();
                 if known < list.len() {
@@ -66,9 +66,9 @@
             }
             message::Table::Settings(state) => self.on_settings(&state),
             message::Table::Ask => {
-                let left = |l: &upstream::Leased| l.until.saturating_sub(now.mono) / time::MS;
+                let remaining = |l: &upstream::Leased| l.until.saturating_sub(now.mono) / time::MS;
                 let list: Vec<_> =
-                    self.fleet.table().iter().map(|l| (l.info.clone(), left(l))).collect();
+                    self.fleet.table().iter().map(|l| (l.info.clone(), remaining(l))).collect();
                 if !list.is_empty() {
                     self.send(from, Body::Table(message::Table::Changed(list)));
                 }
@@ -76,9 +76,10 @@
         }
     }
 
-    /// An instance that starts while nobody who votes on settings is in reach goes by what its
-    /// neighbours have. Once the group is in reach, what it agreed on comes on top: changes that
-    /// are known already have no second effect.
+    /// Adopts the settings of another instance of the zone, if this instance has not joined the
+    /// settings group and the copy is newer. An instance that starts while it can reach no voter of
+    /// the settings group depends on this copy. Once it can reach the group, it applies the
+    /// committed changes on top; a change that the copy already contains has no second effect.
     pub(crate) fn on_settings(&mut self, state: &[u8]) {
         let mut copy = machine::Settings::default();
         group::Machine::restore(&mut copy, state);
@@ -89,16 +90,17 @@
         self.out.push(Output::Settings);
     }
 
-    /// Asks a neighbour for its settings, as long as there are none here.
-    pub(crate) fn seek_settings(&mut self, now: Now) {
-        const PAUSE: u64 = 500 * time::MS;
-        if self.settings.is_joined() || now.mono < self.seek_at {
+    /// Asks the other instances of the zone in turn for their settings, until this instance has
+    /// joined the settings group.
+    pub(crate) fn fetch_settings(&mut self, now: Now) {
+        const INTERVAL: u64 = 500 * time::MS;
+        if self.settings.is_joined() || now.mono < self.fetch_at {
             return;
         }
-        self.seek_at = now.mono + PAUSE;
+        self.fetch_at = now.mono + INTERVAL;
         let peers = self.neighbours();
         if !peers.is_empty() {
-            let at = (now.mono / PAUSE) as usize % peers.len();
+            let at = (now.mono / INTERVAL) as usize % peers.len();
             self.send(&peers[at], Body::Table(message::Table::AskSettings));
         }
     }
@@ -115,8 +117,8 @@
                 .table()
                 .iter()
                 .find(|l| l.info.stamp == stamp && id::short(l.info.name.as_str()) == short);
-            let left = found?.until.saturating_sub(now.mono) / time::MS;
-            Some((short, stamp, left as u32))
+            let remaining = found?.until.saturating_sub(now.mono) / time::MS;
+            Some((short, stamp, remaining as u32))
         };
         let list: Vec<_> = renewals.into_iter().filter_map(held).collect();
         for to in self.neighbours() {
--- a/crates/coord/src/status.rs
+++ b/crates/coord/src/status.rs
@@ -1,29 +1,29 @@
-//! What an instance tells operators about itself.
+//! The status report of an instance for operators.
 
 use state::{name, upstream};
 
 use crate::{core::Core, group, time::Now};
 
-/// One replicated group as a member sees it.
+/// State of one replicated group at this member.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Group {
     /// `settings`, or `journal` and the zone.
     pub group: String,
-    /// Whether the member belongs to a formation.
+    /// Whether the member has joined a formation of the group.
     pub joined: bool,
-    /// The leader it knows.
+    /// Leader known to the member.
     pub leader: Option<String>,
-    /// Term.
+    /// Current term.
     pub term: u64,
     /// Commit index.
     pub commit: u64,
     /// Voters with their incarnations.
     pub voters: Vec<String>,
-    /// Messages refused: wrong formation or incarnation.
+    /// Number of messages refused because of a wrong formation or incarnation.
     pub refused: u64,
 }
 
-/// One upstream as an instance sees it.
+/// State of one upstream at this instance.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Upstream {
     /// Name.
@@ -32,79 +32,79 @@
     pub service: name::Name,
     /// Address.
     pub address: name::Name,
-    /// Slots in all.
+    /// Total number of slots.
     pub slots: u32,
     /// Whether it takes new work.
     pub phase: upstream::Phase,
-    /// What is left of its lease, milliseconds.
+    /// Remaining time of the upstream's lease, milliseconds.
     pub lease_ms: u64,
-    /// Tasks that this instance has there.
+    /// Number of tasks that this instance has in flight there.
     pub outstanding: u32,
     /// Whether it is ejected.
     pub ejected: bool,
 }
 
-/// One service as an instance sees it.
+/// State of one service at this instance.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Service {
     /// Path.
     pub service: name::Name,
-    /// Tasks waiting.
+    /// Number of waiting tasks.
     pub queue: usize,
-    /// Slots that this instance may use.
+    /// Number of slots that this instance may use.
     pub share: u32,
-    /// Free ones of them.
+    /// Number of those slots that are free.
     pub free: u32,
-    /// Slots of all open upstreams.
+    /// Number of slots of all open upstreams.
     pub total: u32,
 }
 
-/// Everything.
+/// Status report of an instance.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Status {
     /// Name of the instance.
     pub instance: name::Name,
     /// Its availability zone.
     pub availability_zone: name::Name,
-    /// Whether it can serve.
+    /// Whether the instance can serve.
     pub ready: bool,
-    /// Whether it shuts down.
+    /// Whether the instance is shutting down.
     pub draining: bool,
     /// Version of the settings tree.
     pub version: u64,
-    /// What is left of its lease, milliseconds.
+    /// Remaining time of the instance's lease, milliseconds.
     pub lease_ms: u64,
-    /// Groups that it belongs to.
+    /// Replicated groups of the instance.
     pub groups: Vec<Group>,
-    /// Instances of the zone that may own jobs.
+    /// Live instances of the zone, which may own jobs.
     pub members: Vec<String>,
-    /// Jobs that it works on.
+    /// Number of jobs in progress at the instance.
     pub jobs: usize,
-    /// Jobs that the zone's journal remembers.
+    /// Number of jobs in the zone's journal.
     pub remembered: usize,
-    /// Bytes of kept answers.
+    /// Size of the kept answers, bytes.
     pub answers: usize,
-    /// Slots borrowed at present.
+    /// Number of slots that are borrowed at present.
     pub borrowed: u32,
-    /// Upstreams.
+    /// Upstreams known to the instance.
     pub upstreams: Vec<Upstream>,
     /// Services with work or upstreams.
     pub services: Vec<Service>,
-    /// What was counted since the start.
+    /// Counters since the start of the instance.
     pub counts: crate::event::Counts,
 }
 
 impl Core {
-    /// What this instance tells operators about itself.
+    /// The status report of this instance.
     pub fn status(&self, now: Now) -> Status {
-        let left = |until: u64| until.saturating_sub(now.mono) / crate::time::MS;
+        let remaining = |until: u64| until.saturating_sub(now.mono) / crate::time::MS;
         let upstreams = self.fleet.table().iter().map(|leased| Upstream {
             upstream: leased.info.name.clone(),
             service: leased.info.service.clone(),
             address: leased.info.address.clone(),
             slots: leased.info.slots,
             phase: leased.info.phase,
-            lease_ms: left(leased.until),
+            lease_ms: remaining(leased.until),
             outstanding: self.fleet.outstanding(leased.info.name.as_str()),
             ejected: self.fleet.is_ejected(leased.info.name.as_str(), now.mono),
         });
@@ -114,7 +114,7 @@
             ready: self.is_ready(),
             draining: self.draining,
             version: self.tree().version(),
-            lease_ms: left(self.journal.lease(now.mono)),
+            lease_ms: remaining(self.journal.lease(now.mono)),
             groups: self.groups(now.mono),
             members: self.members(),
             jobs: self.jobs.len(),
@@ -122,38 +122,38 @@
             answers: self.answers.bytes(),
             borrowed: self.fleet.loans().total(),
             upstreams: upstreams.collect(),
-            services: self.service_states(now.mono),
+            services: self.describe_services(now.mono),
             counts: self.counts.clone(),
         }
     }
 
-    /// Instances of the zone that may own jobs.
+    /// Live instances of the zone, which may own jobs.
     pub fn members(&self) -> Vec<String> {
         self.table().live().map(ToString::to_string).collect()
     }
 
-    /// Name of the journal's leader, or nothing.
+    /// Name of the journal's leader; empty if none is known.
     pub fn journal_leader(&self) -> String {
-        leader(&self.journal)
+        leader_name(&self.journal)
     }
 
-    /// Name of the settings group's leader, or nothing.
+    /// Name of the settings group's leader; empty if none is known.
     pub fn settings_leader(&self) -> String {
-        leader(&self.settings)
+        leader_name(&self.settings)
     }
 
     fn groups(&self, now: u64) -> Vec<Group> {
         let journal = |zone: &name::Name| format!("journal {zone}");
         let mut groups = vec![
-            describe("settings".to_owned(), &self.settings, now),
-            describe(journal(self.zone()), &self.journal, now),
+            describe_group("settings".to_owned(), &self.settings, now),
+            describe_group(journal(self.zone()), &self.journal, now),
         ];
         let witness = self.witness.iter();
-        groups.extend(witness.map(|(zone, group)| describe(journal(zone), group, now)));
+        groups.extend(witness.map(|(zone, group)| describe_group(journal(zone), group, now)));
         groups
     }
 
-    fn service_states(&self, now: u64) -> Vec<Service> {
+    fn describe_services(&self, now: u64) -> Vec<Service> {
         let known = self.fleet.table().iter().map(|leased| leased.info.service.clone());
         let names: std::collections::BTreeSet<_> =
             known.chain(self.services.keys().cloned()).collect();
@@ -166,11 +166,11 @@
     }
 }
 
-fn leader<M: group::Machine>(group: &group::Group<M>) -> String {
+fn leader_name<M: group::Machine>(group: &group::Group<M>) -> String {
     group.raft().and_then(|raft| raft.leader()).map(ToString::to_string).unwrap_or_default()
 }
 
-fn describe<M: group::Machine>(name: String, group: &group::Group<M>, now: u64) -> Group {
+fn describe_group<M: group::Machine>(name: String, group: &group::Group<M>, now: u64) -> Group {
     let raft = group.raft();
     let known = raft.filter(|raft| raft.has_leader(now)).and_then(|raft| raft.leader());
     let voters = raft.map(|raft| raft.voters().0.iter().map(ToString::to_string).collect());
