--- a/crates/coord/src/cache.rs
+++ b/crates/coord/src/cache.rs
@@ -1,4 +1,4 @@
-//! Answers kept for resubmissions, bounded in bytes.
+//! A cache of answers for resubmitted jobs, bounded in bytes.
 
 use std::collections;
 
@@ -6,10 +6,10 @@
 
 use crate::message::Answer;
 
-/// Most bytes of answers that an instance keeps.
+/// Maximum number of bytes of answers that an instance caches.
 pub const MAX_BYTES: usize = 16 << 20;
 
-/// Answers of ended jobs; the oldest are dropped first.
+/// Answers of ended jobs; the cache evicts the entries that were inserted first.
 #[derive(Debug)]
 pub struct Answers {
     limit: usize,
@@ -25,13 +25,13 @@
 }
 
 impl Answers {
-    /// A cache of at most `limit` bytes.
+    /// Creates a cache of at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         let (map, order) = (collections::HashMap::new(), collections::VecDeque::new());
         Self { limit, bytes: 0, map, order }
     }
 
-    /// Bytes held.
+    /// Bytes in use.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -41,7 +41,7 @@
         self.map.get(job)
     }
 
-    /// Keeps the answers of a job.
+    /// Inserts the answers of a job, unless the cache has them already.
     pub fn put(&mut self, job: &id::JobId, answers: Vec<Answer>) {
         if self.map.contains_key(job) {
             return;
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Drops answers of jobs minted before `before`, milliseconds since the Unix epoch.
+    /// Evicts, oldest entry first, the answers of jobs whose ids were minted before `before`,
+    /// milliseconds since the Unix epoch; stops at the first id that is newer.
     pub fn prune(&mut self, before: u64) {
         while self.order.front().is_some_and(|job| job.minted() < before) {
             if let Some(oldest) = self.order.pop_front() {
@@ -74,6 +75,7 @@
 }
 
 fn size(answers: &[Answer]) -> usize {
-    const ENTRY: usize = 96;
-    ENTRY + answers.iter().map(|answer| answer.body.len() + ENTRY).sum::<usize>()
+    /// Bytes counted for each job and for each answer, in addition to the body.
+    const OVERHEAD: usize = 96;
+    OVERHEAD + answers.iter().map(|answer| answer.body.len() + OVERHEAD).sum::<usize>()
 }
--- a/crates/coord/src/calls.rs
+++ b/crates/coord/src/calls.rs
@@ -9,41 +9,41 @@
     waiter::Waiter,
 };
 
-/// A submission on its way to its home zone.
+/// A submission that is being forwarded to its home zone.
 #[derive(Clone, Debug)]
-pub(crate) struct Passed {
+pub(crate) struct Forwarded {
     pub(crate) spec: Spec,
-    /// Instances asked before.
+    /// Instances that have received it so far.
     pub(crate) tried: Vec<name::Name>,
-    /// Whether one of them fell silent, and may run it.
-    pub(crate) doubt: bool,
-    /// What the last one said that refused it because it shuts down.
+    /// Whether one of them timed out and may be running it.
+    pub(crate) may_run: bool,
+    /// The verdict of the last instance that refused it because of its shutdown.
     pub(crate) refusal: Option<Verdict>,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Kind {
-    /// A submission at its home zone, with the instances tried before.
-    Forward(Box<Passed>),
-    /// A job of this zone that runs in another one.
+pub(crate) enum CallKind {
+    /// A forwarded submission, with the instances tried so far.
+    Forward(Box<Forwarded>),
+    /// A job of this zone that runs in another zone.
     Execute,
-    /// The end of a job at its owner.
+    /// A wait for the verdict of a job from its owner.
     Await,
-    /// A kept answer, from any of so many neighbours.
+    /// A request for cached answers; holds the number of neighbours that have not replied.
     Fetch(usize),
-    /// The state of a job in another zone, or its cancellation.
-    Ask,
+    /// A request for the state or the cancellation of a job, to another zone or to its owner.
+    Query,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) waiter: Waiter,
-    pub(crate) kind: Kind,
+    pub(crate) kind: CallKind,
     pub(crate) job: id::JobId,
     pub(crate) to: name::Name,
-    pub(crate) asked: u64,
+    pub(crate) sent_at: u64,
     pub(crate) until: u64,
-    pub(crate) ended: Option<u64>,
+    pub(crate) ended_at: Option<u64>,
 }
 
 /// Calls without an answer yet.
@@ -51,14 +51,14 @@
 pub(crate) struct Calls {
     pub(crate) map: collections::BTreeMap<u64, Call>,
     pub(crate) next: u64,
-    pub(crate) pinged: u64,
+    pub(crate) pinged_at: u64,
 }
 
 impl Calls {
-    /// No calls. Numbers start from the incarnation, so that an answer to a former life of this
-    /// instance is never taken for the answer to another call.
-    pub(crate) fn new(life: u64) -> Self {
-        Self { next: life << 32, ..Self::default() }
+    /// Creates an empty table. Call numbers start from the incarnation, so that an answer to an
+    /// earlier incarnation of this instance never matches another call.
+    pub(crate) fn new(incarnation: u64) -> Self {
+        Self { next: incarnation << 32, ..Self::default() }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -71,10 +71,10 @@
         self.next
     }
 
-    /// Notes that the journal holds the end of a job.
+    /// Records when the journal first held the end of a job.
     pub(crate) fn note_end(&mut self, job: &id::JobId, now: u64) {
         for call in self.map.values_mut().filter(|call| call.job == *job) {
-            call.ended.get_or_insert(now);
+            call.ended_at.get_or_insert(now);
         }
     }
 }
--- a/crates/coord/src/change.rs
+++ b/crates/coord/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the settings that wait for their outcome.
+//! Settings changes that wait for their outcome.
 
 use state::tree;
 
@@ -11,32 +11,32 @@
 
 impl Core {
     pub(crate) fn change(&mut self, ticket: Ticket, change: &tree::Change, now: Now) {
-        const PATIENCE: u64 = 4_000 * time::MS;
+        const CHANGE_TIMEOUT: u64 = 4_000 * time::MS;
         if let Some(outcome) = self.tree().outcome(change.change) {
             self.out.push(Output::Reply(ticket, Reply::Changed(outcome)));
             return;
         }
         let command = machine::encode(change);
-        let until = now.mono + PATIENCE;
-        let fresh = Pending { tickets: Vec::new(), command, retry: 0, until };
-        let pending = self.changes.entry(change.change).or_insert(fresh);
+        let until = now.mono + CHANGE_TIMEOUT;
+        let new = Pending { tickets: Vec::new(), command, retry: 0, until };
+        let pending = self.changes.entry(change.change).or_insert(new);
         pending.tickets.push(ticket);
         pending.until = until;
         self.tick_changes(now);
     }
 
     pub(crate) fn tick_changes(&mut self, now: Now) {
-        const RETRY: u64 = 400 * time::MS;
-        let mut over = Vec::new();
+        const RETRY_INTERVAL: u64 = 400 * time::MS;
+        let mut expired = Vec::new();
         for (id, pending) in &mut self.changes {
             if now.mono >= pending.until {
-                over.push(*id);
+                expired.push(*id);
             } else if now.mono >= pending.retry && self.settings.propose(&pending.command, now.mono)
             {
-                pending.retry = now.mono + RETRY;
+                pending.retry = now.mono + RETRY_INTERVAL;
             }
         }
-        for id in over {
+        for id in expired {
             let pending = self.changes.remove(&id);
             for ticket in pending.into_iter().flat_map(|pending| pending.tickets) {
                 let why = "no quorum of the settings group can be reached".to_owned();
--- a/crates/coord/src/copies.rs
+++ b/crates/coord/src/copies.rs
@@ -1,4 +1,5 @@
-//! Copies of answers at neighbours, so that a resubmission after the owner's death gets them.
+//! Copies of answers at neighbours, so that a resubmission gets the answers even if the owner has
+//! crashed.
 
 use state::{id, name};
 
@@ -9,30 +10,30 @@
     time::{self, Now},
 };
 
-/// After this, every other neighbour gets a copy too, microseconds.
-pub(crate) const COPY_LATE: u64 = 60 * time::MS;
-/// An answer waits this long for its copies, microseconds.
-pub(crate) const COPY_PATIENCE: u64 = 1_000 * time::MS;
+/// If copies are still unconfirmed after this, every other neighbour gets one too, microseconds.
+pub(crate) const COPY_RESEND_DELAY: u64 = 60 * time::MS;
+/// An answer waits at most this long for the confirmation of its copies, microseconds.
+pub(crate) const COPY_TIMEOUT: u64 = 1_000 * time::MS;
 
 impl Core {
-    /// Keeps the answers of a job and sends them to as many neighbours as its service says; gives
-    /// the number of copies on their way.
+    /// Caches the answers of a job and sends them to as many neighbours as the `answer_copies` of
+    /// its service; returns the number of copies sent.
     pub(crate) fn copy_answers(&mut self, id: &id::JobId, answers: &[message::Answer]) -> usize {
         let Some(job) = self.jobs.get(id).filter(|job| job.journaled) else {
             return 0;
         };
         let wanted = job.policy.answer_copies as usize;
         self.answers.put(id, answers.to_vec());
-        let peers = self.keepers(id);
+        let peers = self.copy_targets(id);
         let chosen = &peers[..wanted.min(peers.len())];
         self.send_copies(id, answers, chosen);
         chosen.len()
     }
 
-    /// A copy is late, perhaps because its keeper is dead: every other neighbour gets one, and
-    /// any that confirms will do.
-    pub(crate) fn spread_copies(&mut self, id: &id::JobId) {
-        let peers = self.keepers(id);
+    /// Sends the answers to every other neighbour once a copy is late, perhaps because its receiver
+    /// has crashed. A confirmation from any neighbour counts.
+    pub(crate) fn resend_copies(&mut self, id: &id::JobId) {
+        let peers = self.copy_targets(id);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -40,17 +41,17 @@
         let Phase::Ending(ending) = &mut job.phase else {
             return;
         };
-        if ending.spread || ending.copies == 0 {
+        if ending.sent_all || ending.unconfirmed == 0 {
             return;
         }
-        ending.spread = true;
+        ending.sent_all = true;
         if let Verdict::Complete(answers) = ending.verdict.clone() {
             self.send_copies(id, &answers, &peers[wanted.min(peers.len())..]);
         }
     }
 
-    /// The zone's other instances, in the order in which they keep answers of this job.
-    fn keepers(&self, id: &id::JobId) -> Vec<name::Name> {
+    /// The zone's other instances, in the order in which they receive copies of this job's answers.
+    fn copy_targets(&self, id: &id::JobId) -> Vec<name::Name> {
         let mut peers = self.neighbours();
         let count = peers.len();
         if count > 0 {
@@ -68,7 +69,7 @@
 
     pub(crate) fn on_copied(&mut self, id: &id::JobId, now: Now) {
         if let Some(Job { phase: Phase::Ending(ending), .. }) = self.jobs.get_mut(id) {
-            ending.copies = ending.copies.saturating_sub(1);
+            ending.unconfirmed = ending.unconfirmed.saturating_sub(1);
             self.conclude(id, now);
         }
     }
--- a/crates/coord/src/forward.rs
+++ b/crates/coord/src/forward.rs
@@ -1,11 +1,11 @@
-//! Calls to other instances: forwarded submissions, waiting for another owner, kept answers.
+//! Calls to other instances: forwarded submissions, waits for another owner, cached answers.
 
 use std::collections;
 
 use state::{id, name, table};
 
 use crate::{
-    calls::{Call, Kind, Passed},
+    calls::{Call, CallKind, Forwarded},
     core::Core,
     event::{Output, Reply},
     limit, member,
@@ -14,18 +14,20 @@
     waiter::Waiter,
 };
 
-/// A peer in another zone that is silent this long during a call is out of reach, microseconds.
-const SILENCE: u64 = 1_500 * time::MS;
-/// A peer that is silent this long during a call is asked whether it is there, microseconds.
-const PING: u64 = 400 * time::MS;
-/// After a job has ended, its owner's own answer is waited for this long, microseconds.
+/// A peer in another zone that sends nothing for this long during a call counts as unreachable,
+/// microseconds.
+const PEER_TIMEOUT: u64 = 1_500 * time::MS;
+/// A peer that sends nothing for this long during a call gets a ping, microseconds.
+const PING_INTERVAL: u64 = 400 * time::MS;
+/// After the journal holds the end of a job, the call to its owner waits this much longer for the
+/// owner's verdict, microseconds.
 const OWNER_GRACE: u64 = 150 * time::MS;
-/// Kept answers are asked for this long, microseconds.
-const FETCH: u64 = 1_000 * time::MS;
-/// Without a lease, a call inside the zone is given up after this, microseconds.
-const HOLD: u64 = 2_500 * time::MS;
-/// A call may last this much longer than the deadline it serves, microseconds.
-const GRACE: u64 = 1_000 * time::MS;
+/// Timeout of a request for cached answers, microseconds.
+const FETCH_TIMEOUT: u64 = 1_000 * time::MS;
+/// A call to an owner in this zone expires after this long without a lease, microseconds.
+const LEASE_TIMEOUT: u64 = 2_500 * time::MS;
+/// A call may outlast the deadline of its job by this much, microseconds.
+const CALL_GRACE: u64 = 1_000 * time::MS;
 
 impl Core {
     pub(crate) fn reply(&mut self, waiter: Waiter, verdict: Verdict) {
@@ -46,68 +48,75 @@
             Waiter::Peer(to, call) => {
                 self.send(&to, Body::Job(message::Job::Verdict { call, verdict }));
             }
-            Waiter::Nobody => {}
+            Waiter::Discard => {}
         }
     }
 
     fn call(
         &mut self,
         waiter: Waiter,
-        kind: Kind,
+        kind: CallKind,
         job: &id::JobId,
         to: &name::Name,
         until: u64,
         now: Now,
     ) -> u64 {
         let (job, to) = (job.clone(), to.clone());
-        self.calls.add(Call { waiter, kind, job, to, asked: now.mono, until, ended: None })
+        self.calls.add(Call { waiter, kind, job, to, sent_at: now.mono, until, ended_at: None })
     }
 
-    /// Passes a submission to its home zone.
+    /// Forwards a submission to its home zone.
     pub(crate) fn forward(&mut self, waiter: Waiter, spec: Spec, now: Now) {
         let left = limit::deadline_ms(&spec, &self.tree().policy_at(spec.service.as_str()));
-        let passed = Passed { spec, tried: Vec::new(), doubt: false, refusal: None };
-        self.forward_on(waiter, Box::new(passed), now.after(left) + GRACE, now);
+        let forwarded = Forwarded { spec, tried: Vec::new(), may_run: false, refusal: None };
+        self.forward_next(waiter, Box::new(forwarded), now.after(left) + CALL_GRACE, now);
     }
 
-    /// Passes a submission to an instance of its home zone that was not asked yet.
-    fn forward_on(&mut self, waiter: Waiter, mut passed: Box<Passed>, until: u64, now: Now) {
-        let zone = passed.spec.job.zone().clone();
-        // After one that fell silent, only who has answered a ping in the meantime is asked.
-        let next = self.pick_peer(&zone, &passed.tried, now);
-        let next = next.filter(|to| !passed.doubt || self.is_fresh(to, now));
+    /// Forwards a submission to an instance of its home zone that has not received it yet.
+    fn forward_next(
+        &mut self,
+        waiter: Waiter,
+        mut forwarded: Box<Forwarded>,
+        until: u64,
+        now: Now,
+    ) {
+        let zone = forwarded.spec.job.zone().clone();
+        // After one instance has timed out, the next one must have sent a message, such as the
+        // answer to a ping, within `PEER_TIMEOUT`.
+        let next = self.pick_peer(&zone, &forwarded.tried, now);
+        let next = next.filter(|to| !forwarded.may_run || self.is_responsive(to, now));
         let Some(to) = next else {
             let unknown = Verdict::unknown(format!("zone {zone} is out of reach"));
-            let refusal = passed.refusal.filter(|_| !passed.doubt);
+            let refusal = forwarded.refusal.filter(|_| !forwarded.may_run);
             return self.reply(waiter, refusal.unwrap_or(unknown));
         };
         self.counts.forwards += 1;
-        passed.spec.left_ms = (until.saturating_sub(now.mono + GRACE) / time::MS).max(1);
-        let spec = passed.spec.clone();
-        let call = self.call(waiter, Kind::Forward(passed), &spec.job, &to, until, now);
+        forwarded.spec.left_ms = (until.saturating_sub(now.mono + CALL_GRACE) / time::MS).max(1);
+        let spec = forwarded.spec.clone();
+        let call = self.call(waiter, CallKind::Forward(forwarded), &spec.job, &to, until, now);
         self.send(&to, Body::Job(message::Job::Forward { call, spec }));
     }
 
-    /// An instance of another zone that was heard from lately, for a job that no upstream of this
-    /// zone can take.
-    pub(crate) fn pick_abroad(&self, now: Now) -> Option<name::Name> {
-        let away = self.config.all.iter().filter(|i| i.zone != *self.zone());
-        let abroad = away.filter(|i| self.is_fresh(&i.name, now));
-        abroad.map(|instance| instance.name.clone()).next()
+    /// An instance of another zone that sent a message within `PEER_TIMEOUT`, for a job that no
+    /// upstream of this zone can take.
+    pub(crate) fn pick_remote(&self, now: Now) -> Option<name::Name> {
+        let remote = self.config.all.iter().filter(|i| i.zone != *self.zone());
+        let responsive = remote.filter(|i| self.is_responsive(&i.name, now));
+        responsive.map(|instance| instance.name.clone()).next()
     }
 
-    /// Where jobs may run abroad, one instance of each other zone is asked now and then whether it
-    /// is there: zones have no steady traffic of their own.
-    fn ping_abroad(&mut self, now: Now) {
-        const PAUSE: u64 = 500 * time::MS;
+    /// Pings one instance of each other zone periodically if any service lets its jobs run in other
+    /// zones, because zones exchange no regular traffic that would show which instances respond.
+    fn ping_remote_zones(&mut self, now: Now) {
+        const INTERVAL: u64 = 500 * time::MS;
         if now.mono < self.abroad_at {
             return;
         }
-        self.abroad_at = now.mono + PAUSE;
+        self.abroad_at = now.mono + INTERVAL;
         if !self.tree().any_cross_zone() {
             return;
         }
-        let turn = (now.mono / PAUSE) as usize;
+        let turn = (now.mono / INTERVAL) as usize;
         for zone in member::zones(&self.config.all) {
             let all = self.config.all.iter().filter(|i| i.zone == zone);
             let names: Vec<_> = all.map(|instance| instance.name.clone()).collect();
@@ -117,33 +126,34 @@
         }
     }
 
-    /// Whether an instance was heard from lately.
-    fn is_fresh(&self, name: &name::Name, now: Now) -> bool {
-        self.heard.get(name).is_some_and(|heard| now.mono < heard + SILENCE)
+    /// Whether an instance sent a message within `PEER_TIMEOUT`.
+    fn is_responsive(&self, name: &name::Name, now: Now) -> bool {
+        self.heard.get(name).is_some_and(|heard| now.mono < heard + PEER_TIMEOUT)
     }
 
-    /// Has an admitted job run in another zone, with one message for all its tasks.
-    pub(crate) fn execute_abroad(&mut self, spec: &Spec, to: &name::Name, now: Now) {
+    /// Sends an admitted job to another zone to run there, in one message with all its tasks.
+    pub(crate) fn execute_remote(&mut self, spec: &Spec, to: &name::Name, now: Now) {
         let Some(job) = self.jobs.get_mut(&spec.job) else { return };
-        job.ran = spec.tasks.len();
-        let until = job.deadline + GRACE;
+        job.started = spec.tasks.len();
+        let until = job.deadline + CALL_GRACE;
         let left_ms = job.deadline.saturating_sub(now.mono) / time::MS;
         let spec = Spec { left_ms: left_ms.max(1), ..spec.clone() };
-        let call = self.call(Waiter::Nobody, Kind::Execute, &spec.job, to, until, now);
+        let call = self.call(Waiter::Discard, CallKind::Execute, &spec.job, to, until, now);
         self.send(to, Body::Job(message::Job::Execute { call, spec }));
     }
 
-    /// An instance of a zone, preferably the one heard from last.
+    /// Picks an instance of a zone, preferably one that sent a message within `PEER_TIMEOUT`; the
+    /// first by name among equals.
     fn pick_peer(&self, zone: &name::Name, tried: &[name::Name], now: Now) -> Option<name::Name> {
         let peers = self.config.all.iter().filter(|i| i.zone == *zone && !tried.contains(&i.name));
         let age = |name: &name::Name| {
-            now.mono.saturating_sub(self.heard.get(name).copied().unwrap_or(0)) / SILENCE
+            now.mono.saturating_sub(self.heard.get(name).copied().unwrap_or(0)) / PEER_TIMEOUT
         };
         let best = peers.min_by_key(|i| (age(&i.name).min(1), i.name.clone()));
         best.map(|instance| instance.name.clone())
     }
 
-    /// Waits for the owner's word on a job of this zone.
+    /// Waits for the verdict of the owner of a job in this zone.
     pub(crate) fn await_owner(
         &mut self,
         waiter: Waiter,
@@ -152,22 +162,23 @@
         until: u64,
         now: Now,
     ) {
-        let call = self.call(waiter, Kind::Await, job, owner, until + GRACE, now);
-        // A former life of this very instance has nothing to tell: the journal will expel it.
+        let call = self.call(waiter, CallKind::Await, job, owner, until + CALL_GRACE, now);
+        // If the owner is an earlier incarnation of this instance, no instance can answer: the
+        // journal will expel that incarnation.
         if *owner != self.config.me.name {
             let body = message::Job::Await { call, job: job.clone(), wait: true };
             self.send(owner, Body::Job(body));
         }
     }
 
-    /// Asks the neighbours for the answers of a job that is complete.
+    /// Requests the cached answers of a complete job from the neighbours.
     pub(crate) fn fetch(&mut self, waiter: Waiter, job: &id::JobId, now: Now) {
         let peers = self.neighbours();
         if peers.is_empty() || matches!(waiter, Waiter::Peer(..)) {
             let why = "the job is complete, but its answers are no longer held";
             return self.reply(waiter, Verdict::unknown(why));
         }
-        let (kind, until) = (Kind::Fetch(peers.len()), now.mono + FETCH);
+        let (kind, until) = (CallKind::Fetch(peers.len()), now.mono + FETCH_TIMEOUT);
         let me = self.config.me.name.clone();
         let call = self.call(waiter, kind, job, &me, until, now);
         for to in &peers {
@@ -176,14 +187,14 @@
         }
     }
 
-    /// Says how a job stands, or waits for its end.
+    /// Replies with the state of a job, or with its verdict once it ends if `wait` is set.
     pub(crate) fn show(&mut self, waiter: Waiter, job: &id::JobId, wait: bool, now: Now) {
         if job.zone() != self.zone() {
-            return self.ask(waiter, job, false, now);
+            return self.query_zone(waiter, job, false, now);
         }
-        if let Some(held) = self.jobs.get_mut(job) {
+        if let Some(local_job) = self.jobs.get_mut(job) {
             if wait {
-                held.waiters.push(waiter);
+                local_job.waiters.push(waiter);
             } else {
                 self.reply(waiter, Verdict::Running);
             }
@@ -198,20 +209,27 @@
         if entry.outcome.is_none() && !wait && entry.owner.as_ref() != Some(self.journal.me()) {
             return self.reply(waiter, Verdict::Running);
         }
-        self.attach(waiter, job, None, now.mono + GRACE, now);
+        self.attach(waiter, job, None, now.mono + CALL_GRACE, now);
     }
 
-    fn ask(&mut self, waiter: Waiter, job: &id::JobId, cancel: bool, now: Now) {
+    fn query_zone(&mut self, waiter: Waiter, job: &id::JobId, cancel: bool, now: Now) {
         let Some(to) = self.pick_peer(job.zone(), &[], now) else {
             let why = format!("zone {} is out of reach", job.zone());
             return self.reply(waiter, Verdict::unknown(why));
         };
-        self.ask_at(waiter, job, &to, cancel, now);
+        self.query_instance(waiter, job, &to, cancel, now);
     }
 
-    fn ask_at(&mut self, waiter: Waiter, job: &id::JobId, to: &name::Name, cancel: bool, now: Now) {
-        let until = now.mono + SILENCE + GRACE;
-        let call = self.call(waiter, Kind::Ask, job, to, until, now);
+    fn query_instance(
+        &mut self,
+        waiter: Waiter,
+        job: &id::JobId,
+        to: &name::Name,
+        cancel: bool,
+        now: Now,
+    ) {
+        let until = now.mono + PEER_TIMEOUT + CALL_GRACE;
+        let call = self.call(waiter, CallKind::Query, job, to, until, now);
         let job = job.clone();
         let body = if cancel {
             message::Job::Cancel { call, job }
@@ -221,18 +239,18 @@
         self.send(to, Body::Job(body));
     }
 
-    /// Cancels a job, here or at its owner.
+    /// Cancels a job here or sends the cancellation to its owner.
     pub(crate) fn cancel(&mut self, waiter: Waiter, job: &id::JobId, now: Now) {
         if job.zone() != self.zone() {
-            return self.ask(waiter, job, true, now);
+            return self.query_zone(waiter, job, true, now);
         }
-        if let Some(held) = self.jobs.get_mut(job) {
-            if matches!(held.phase, crate::job::Phase::Admitting) {
-                held.cancelled = true;
-            } else if matches!(held.phase, crate::job::Phase::Running) {
+        if let Some(local_job) = self.jobs.get_mut(job) {
+            if matches!(local_job.phase, crate::job::Phase::Admitting) {
+                local_job.cancelled = true;
+            } else if matches!(local_job.phase, crate::job::Phase::Running) {
                 self.finish(job, table::Outcome::Failed, &Verdict::failed("cancelled"), now);
             }
-            return self.cancelled(waiter);
+            return self.reply_cancelled(waiter);
         }
         let me = self.journal.me().clone();
         let Some(entry) = self.table().get(job) else {
@@ -240,12 +258,12 @@
             return self.reply(waiter, verdict);
         };
         match entry.owner.clone() {
-            Some(owner) if owner != me => self.ask_at(waiter, job, &owner.name, true, now),
-            _ => self.cancelled(waiter),
+            Some(owner) if owner != me => self.query_instance(waiter, job, &owner.name, true, now),
+            _ => self.reply_cancelled(waiter),
         }
     }
 
-    fn cancelled(&mut self, waiter: Waiter) {
+    fn reply_cancelled(&mut self, waiter: Waiter) {
         match waiter {
             Waiter::Viewer(ticket) => self.out.push(Output::Reply(ticket, Reply::Cancelled)),
             other => self.reply(other, Verdict::Running),
@@ -260,20 +278,24 @@
                     self.submit(waiter, spec, now);
                 } else {
                     self.counts.rejected += 1;
-                    self.reply(waiter, Verdict::unknown("forwarded to another zone"));
+                    self.reply(
+                        waiter,
+                        Verdict::unknown("the job was forwarded to an instance of the wrong zone"),
+                    );
                 }
             }
             message::Job::Execute { call, spec } => {
-                self.submit_foreign(Waiter::Peer(from.clone(), call), spec, now);
+                self.on_execute(Waiter::Peer(from.clone(), call), spec, now);
             }
             message::Job::Await { call, job, wait } => {
                 self.show(Waiter::Peer(from.clone(), call), &job, wait, now);
             }
             message::Job::Fetch { call, job } => {
-                // Whoever asks knows that the job is complete; the journal may tell this instance
-                // a little later.
+                // The sender knows that the job is complete; this instance may apply that journal
+                // entry a little later, so it looks only at its cache.
                 let kept = self.answers.get(&job).cloned().map(Verdict::Complete);
-                let verdict = kept.unwrap_or_else(|| Verdict::unknown("no answers are kept"));
+                let verdict = kept
+                    .unwrap_or_else(|| Verdict::unknown("this instance has no answers of the job"));
                 self.reply(Waiter::Peer(from.clone(), call), verdict);
             }
             message::Job::Cancel { call, job } => {
@@ -296,7 +318,7 @@
             return;
         };
         let complete = matches!(verdict, Verdict::Complete(_));
-        if let Kind::Fetch(left) = &mut call.kind
+        if let CallKind::Fetch(left) = &mut call.kind
             && !complete
         {
             *left = left.saturating_sub(1);
@@ -307,8 +329,8 @@
         let Some(call) = self.calls.map.remove(&number) else {
             return;
         };
-        if matches!(call.kind, Kind::Execute) {
-            return self.on_foreign(&call.job, &verdict, now);
+        if matches!(call.kind, CallKind::Execute) {
+            return self.on_executed(&call.job, &verdict, now);
         }
         if call.job.zone() == self.zone()
             && let Verdict::Complete(answers) = &verdict
@@ -316,24 +338,26 @@
             self.answers.put(&call.job, answers.clone());
         }
         let verdict = match (call.kind, verdict) {
-            (Kind::Fetch(_), _) if !complete => {
+            (CallKind::Fetch(_), _) if !complete => {
                 Verdict::unknown("the job is complete, but its answers are no longer held")
             }
-            // An owner that no longer works on it: the journal has the end, or will have it.
-            (Kind::Await, Verdict::Running) => {
+            // The owner no longer works on the job: the journal holds its end, or will hold it.
+            (CallKind::Await, Verdict::Running) => {
                 return self.attach(call.waiter, &call.job, None, call.until, now);
             }
             (
-                Kind::Forward(mut passed),
+                CallKind::Forward(mut forwarded),
                 refusal @ Verdict::NotRun { kind: Refusal::Draining, .. },
             ) => {
-                passed.tried.push(call.to);
-                passed.refusal = Some(refusal);
-                return self.forward_on(call.waiter, passed, call.until, now);
+                forwarded.tried.push(call.to);
+                forwarded.refusal = Some(refusal);
+                return self.forward_next(call.waiter, forwarded, call.until, now);
             }
-            // An instance that was asked before may have taken it in the meantime.
-            (Kind::Forward(passed), Verdict::NotRun { .. }) if passed.doubt => {
-                Verdict::unknown("an instance of its zone that did not answer may run it")
+            // An instance that received the job earlier and timed out may have accepted it.
+            (CallKind::Forward(forwarded), Verdict::NotRun { .. }) if forwarded.may_run => {
+                Verdict::unknown(
+                    "an instance of the job's zone that did not answer may be running it",
+                )
             }
             (_, verdict) => verdict,
         };
@@ -341,41 +365,43 @@
     }
 
     pub(crate) fn tick_calls(&mut self, now: Now) {
-        self.return_slots(now);
-        self.ping_abroad(now);
+        self.return_idle_slots(now);
+        self.ping_remote_zones(now);
         if self.calls.is_empty() {
             return;
         }
-        self.ping_called(now);
-        let over: Vec<_> = self
+        self.ping_callees(now);
+        let expired: Vec<_> = self
             .calls
             .map
             .iter()
-            .filter(|(_, call)| self.is_over(call, now))
+            .filter(|(_, call)| self.is_expired(call, now))
             .map(|(number, _)| *number)
             .collect();
-        for number in over {
+        for number in expired {
             if let Some(call) = self.calls.map.remove(&number) {
-                self.resolve(call, now);
+                self.expire(call, now);
             }
         }
     }
 
-    fn ping_called(&mut self, now: Now) {
-        if now.mono < self.calls.pinged + PING {
+    fn ping_callees(&mut self, now: Now) {
+        if now.mono < self.calls.pinged_at + PING_INTERVAL {
             return;
         }
-        self.calls.pinged = now.mono;
-        let mut called: collections::BTreeSet<_> =
+        self.calls.pinged_at = now.mono;
+        let mut callees: collections::BTreeSet<_> =
             self.calls.map.values().map(|call| call.to.clone()).collect();
-        // A submission on its way may have to go to another instance of its zone.
-        let passed = self.calls.map.values().filter(|call| matches!(call.kind, Kind::Forward(_)));
-        let zones: collections::BTreeSet<_> = passed.map(|call| call.job.zone().clone()).collect();
-        let homes = self.config.all.iter().filter(|i| zones.contains(&i.zone));
-        called.extend(homes.map(|instance| instance.name.clone()));
-        for to in called {
+        // A forwarded submission may have to go to another instance of its zone.
+        let forwarded =
+            self.calls.map.values().filter(|call| matches!(call.kind, CallKind::Forward(_)));
+        let zones: collections::BTreeSet<_> =
+            forwarded.map(|call| call.job.zone().clone()).collect();
+        let candidates = self.config.all.iter().filter(|i| zones.contains(&i.zone));
+        callees.extend(candidates.map(|instance| instance.name.clone()));
+        for to in callees {
             let heard = self.heard.get(&to).copied().unwrap_or(0);
-            if now.mono > heard + PING && to != self.config.me.name {
+            if now.mono > heard + PING_INTERVAL && to != self.config.me.name {
                 self.send(&to, Body::Ping(true));
             }
         }
@@ -383,47 +409,49 @@
 
     fn is_silent(&self, call: &Call, now: Now) -> bool {
         let heard = self.heard.get(&call.to).copied().unwrap_or(0);
-        now.mono > heard.max(call.asked) + SILENCE
+        now.mono > heard.max(call.sent_at) + PEER_TIMEOUT
     }
 
-    fn is_over(&self, call: &Call, now: Now) -> bool {
+    fn is_expired(&self, call: &Call, now: Now) -> bool {
         let late = now.mono >= call.until;
         match &call.kind {
-            Kind::Forward(_) | Kind::Execute | Kind::Ask => late || self.is_silent(call, now),
-            Kind::Fetch(_) => late,
-            Kind::Await => {
-                let ended = call.ended.is_some_and(|at| now.mono > at + OWNER_GRACE);
-                late || ended || self.unleased(now.mono) > HOLD
+            CallKind::Forward(_) | CallKind::Execute | CallKind::Query => {
+                late || self.is_silent(call, now)
+            }
+            CallKind::Fetch(_) => late,
+            CallKind::Await => {
+                let ended = call.ended_at.is_some_and(|at| now.mono > at + OWNER_GRACE);
+                late || ended || self.unleased(now.mono) > LEASE_TIMEOUT
             }
         }
     }
 
-    /// Ends a call that got no answer.
-    fn resolve(&mut self, call: Call, now: Now) {
+    /// Ends a call that has expired without an answer.
+    fn expire(&mut self, call: Call, now: Now) {
         let silent = self.is_silent(&call, now);
         match call.kind {
-            Kind::Forward(mut passed) if silent && now.mono < call.until => {
-                passed.tried.push(call.to);
-                passed.doubt = true;
-                self.forward_on(call.waiter, passed, call.until, now);
+            CallKind::Forward(mut forwarded) if silent && now.mono < call.until => {
+                forwarded.tried.push(call.to);
+                forwarded.may_run = true;
+                self.forward_next(call.waiter, forwarded, call.until, now);
             }
-            Kind::Await if call.ended.is_some() => {
+            CallKind::Await if call.ended_at.is_some() => {
                 self.attach(call.waiter, &call.job, None, call.until, now);
             }
-            Kind::Await => {
-                let why = format!("its owner {} has not told how it ended", call.to);
+            CallKind::Await => {
+                let why = format!("the job's owner {} did not report its outcome", call.to);
                 self.reply(call.waiter, Verdict::unknown(why));
             }
-            Kind::Fetch(_) => {
+            CallKind::Fetch(_) => {
                 let why = "the job is complete, but its answers are out of reach";
                 self.reply(call.waiter, Verdict::unknown(why));
             }
-            Kind::Execute => {
+            CallKind::Execute => {
                 let verdict = Verdict::unknown("the zone that ran the job is out of reach");
-                self.on_foreign(&call.job, &verdict, now);
+                self.on_executed(&call.job, &verdict, now);
             }
-            Kind::Forward(_) | Kind::Ask => {
-                let why = format!("instance {} of its zone did not answer", call.to);
+            CallKind::Forward(_) | CallKind::Query => {
+                let why = format!("instance {} of the job's zone did not answer", call.to);
                 self.reply(call.waiter, Verdict::unknown(why));
             }
         }
--- a/crates/coord/src/job.rs
+++ b/crates/coord/src/job.rs
@@ -1,4 +1,4 @@
-//! A submission that this instance works on.
+//! A submitted job that this instance works on.
 
 use std::sync;
 
@@ -15,40 +15,40 @@
     pub(crate) number: u64,
     pub(crate) upstream: name::Name,
     pub(crate) address: name::Name,
-    pub(crate) since: u64,
+    pub(crate) started_at: u64,
 }
 
-/// Where one task stands.
+/// The state of one task.
 #[derive(Clone, Debug)]
-pub(crate) enum Slot {
+pub(crate) enum TaskState {
     Waiting,
     Running(smallvec::SmallVec<[Attempt; 1]>),
     Done(Answer),
 }
 
-/// How a job is about to end.
+/// The end of a job that waits for the journal or for copies of its answers.
 #[derive(Clone, Debug)]
 pub(crate) struct Ending {
     pub(crate) outcome: table::Outcome,
     pub(crate) verdict: Verdict,
-    /// Whether the journal holds the end.
+    /// Whether the journal holds the end, or the job does not use the journal.
     pub(crate) committed: bool,
-    /// Copies of the answers that are not confirmed yet.
-    pub(crate) copies: usize,
-    /// Whether every neighbour was sent one, because the chosen ones are late.
-    pub(crate) spread: bool,
-    /// When the answer goes out without them, microseconds.
-    pub(crate) patience: u64,
+    /// Copies of the answers that peers have not confirmed yet.
+    pub(crate) unconfirmed: usize,
+    /// Whether this instance has sent a copy to every neighbour because confirmations are late.
+    pub(crate) sent_all: bool,
+    /// When the answer goes out without the missing confirmations, microseconds.
+    pub(crate) copy_deadline: u64,
 }
 
 /// Life cycle of a job at its owner.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// The journal is to accept it; nothing may start.
+    /// The journal has not admitted the job yet; no task may start.
     Admitting,
-    /// Tasks wait, run or have answered.
+    /// The tasks wait, run or have answered.
     Running,
-    /// The journal is to hold its end.
+    /// The job has ended; the journal does not hold its end yet, or copies are unconfirmed.
     Ending(Ending),
 }
 
@@ -56,33 +56,34 @@
 pub(crate) struct Job {
     pub(crate) spec: sync::Arc<Spec>,
     pub(crate) digest: table::Digest,
-    /// When the answer is too late, microseconds of the monotonic clock.
+    /// Time after which an answer is too late, microseconds of the monotonic clock.
     pub(crate) deadline: u64,
     pub(crate) phase: Phase,
-    pub(crate) slots: Vec<Slot>,
+    pub(crate) tasks: Vec<TaskState>,
     /// Tasks without an answer.
-    pub(crate) open: usize,
+    pub(crate) unanswered: usize,
     /// Attempts that have, or may have, started a task.
-    pub(crate) ran: usize,
+    pub(crate) started: usize,
     pub(crate) waiters: smallvec::SmallVec<[Waiter; 2]>,
-    /// Whether it goes through the journal; idempotent requests do not.
+    /// Whether the zone's journal records it; idempotent requests and jobs that run here for
+    /// another zone do not use the journal.
     pub(crate) journaled: bool,
-    /// Whether a failed task may be run again; only of idempotent requests.
+    /// Whether a failed task may run again; true only for idempotent requests.
     pub(crate) retryable: bool,
     pub(crate) cancelled: bool,
-    /// What it holds of this instance's part of a quota, without the journal.
+    /// The claim on this instance's share of a quota, taken without the journal.
     pub(crate) claim: Option<table::Claim>,
-    /// When to propose to the journal again.
-    pub(crate) retry: u64,
-    /// When it was submitted, microseconds.
-    pub(crate) arrived: u64,
+    /// When to repeat the proposal to the journal, microseconds.
+    pub(crate) retry_at: u64,
+    /// When it was submitted to this instance, microseconds.
+    pub(crate) submitted_at: u64,
     /// Service time of its longest task, microseconds.
-    pub(crate) longest: u64,
+    pub(crate) longest_task: u64,
     pub(crate) policy: state::tree::Policy,
 }
 
 impl Job {
-    /// A job that waits for its admission.
+    /// Creates a job that waits for its admission.
     pub(crate) fn new(
         spec: sync::Arc<Spec>,
         digest: table::Digest,
@@ -94,37 +95,37 @@
             digest,
             deadline,
             phase: Phase::Admitting,
-            slots: vec![Slot::Waiting; count],
-            open: count,
-            ran: 0,
+            tasks: vec![TaskState::Waiting; count],
+            unanswered: count,
+            started: 0,
             waiters: smallvec::SmallVec::new(),
             journaled: !(spec.raw && spec.idempotent),
             retryable: spec.raw && spec.idempotent,
             cancelled: false,
             claim: None,
-            retry: 0,
-            arrived: 0,
-            longest: 0,
+            retry_at: 0,
+            submitted_at: 0,
+            longest_task: 0,
             policy,
             spec,
         }
     }
 
-    /// Takes the answers out, in task order.
+    /// Returns the answers, in task order.
     pub(crate) fn answers(&self) -> Vec<Answer> {
-        let answer = |slot: &Slot| match slot {
-            Slot::Done(answer) => Some(answer.clone()),
-            Slot::Waiting | Slot::Running(_) => None,
+        let answer = |task_state: &TaskState| match task_state {
+            TaskState::Done(answer) => Some(answer.clone()),
+            TaskState::Waiting | TaskState::Running(_) => None,
         };
-        self.slots.iter().filter_map(answer).collect()
+        self.tasks.iter().filter_map(answer).collect()
     }
 
-    /// Attempts under way, with the index of their task.
+    /// Running attempts, each with the index of its task.
     pub(crate) fn attempts(&self) -> impl Iterator<Item = (u32, &Attempt)> {
-        self.slots.iter().enumerate().flat_map(|(index, slot)| {
-            let list: &[Attempt] = match slot {
-                Slot::Running(attempts) => attempts,
-                Slot::Waiting | Slot::Done(_) => &[],
+        self.tasks.iter().enumerate().flat_map(|(index, task_state)| {
+            let list: &[Attempt] = match task_state {
+                TaskState::Running(attempts) => attempts,
+                TaskState::Waiting | TaskState::Done(_) => &[],
             };
             list.iter().map(move |attempt| (index as u32, attempt))
         })
--- a/crates/coord/src/jobs.rs
+++ b/crates/coord/src/jobs.rs
@@ -1,25 +1,25 @@
-//! The life cycle of jobs at this instance: submission, admission, end.
+//! The life cycle of jobs at this instance: submission, admission and end.
 
 use std::sync;
 
 use state::{id, name, table};
 
 use crate::{
-    copies::{COPY_LATE, COPY_PATIENCE},
+    copies::{COPY_RESEND_DELAY, COPY_TIMEOUT},
     core::Core,
     event::{Output, Stop, Ticket},
     fleet,
-    job::{Ending, Job, Phase, Slot},
+    job::{Ending, Job, Phase, TaskState},
     limit,
     message::{Refusal, Spec, Verdict},
-    overdue::{REPROPOSE, not_started},
+    overdue::{REPROPOSE_INTERVAL, not_started},
     queue::Task,
     time::{self, Now},
     waiter::Waiter,
 };
 
-/// A submission waits this long for a lease, microseconds; longer than an election takes.
-const HOLD: u64 = 2_500 * time::MS;
+/// A submission waits at most this long for a lease, microseconds; an election takes less time.
+const LEASE_TIMEOUT: u64 = 2_500 * time::MS;
 
 impl Core {
     pub(crate) fn on_submit(&mut self, ticket: Ticket, spec: Spec, now: Now) {
@@ -32,35 +32,38 @@
         if !journaled {
             self.submit_direct(waiter, spec, now);
         } else if spec.job.zone() == self.zone() {
-            self.submit_here(waiter, spec, now);
+            self.submit_local(waiter, spec, now);
         } else {
             self.forward(waiter, spec, now);
         }
     }
 
-    /// An idempotent request: no journal, so it is served even without a lease.
+    /// Accepts an idempotent request. It does not use the journal, so this instance serves it even
+    /// without a lease.
     fn submit_direct(&mut self, waiter: Waiter, spec: Spec, now: Now) {
         if self.jobs.contains_key(&spec.job) {
             let verdict = Verdict::refuse(Refusal::Conflict, "the id is in use", 0);
             return self.reply(waiter, verdict);
         }
         let job = spec.job.clone();
-        if !self.enlist(waiter, spec, 0, now) {
+        if !self.accept(waiter, spec, 0, now) {
             return;
         }
-        match self.claim_directly(&job, now) {
-            Ok(()) => self.begin(&job, now),
+        match self.claim_quota_share(&job, now) {
+            Ok(()) => self.start_job(&job, now),
             Err(retry) => {
-                let why = "the team is at this instance's part of its quota";
-                self.give_up(&job, &Verdict::refuse(Refusal::Quota, why, retry));
+                let why = "the team is at this instance's share of its quota";
+                self.remove_and_reply(&job, &Verdict::refuse(Refusal::Quota, why, retry));
             }
         }
     }
 
-    /// Takes an idempotent request's part of a quota, of which every instance has its share.
-    fn claim_directly(&mut self, id: &id::JobId, now: Now) -> Result<(), u64> {
+    /// Claims quota for an idempotent request; every live instance has an equal share of the quota.
+    fn claim_quota_share(&mut self, id: &id::JobId, now: Now) -> Result<(), u64> {
         let Some(job) = self.jobs.get_mut(id) else { return Ok(()) };
-        let Some(mut claim) = limit::claim(&job.spec, &job.policy, now) else { return Ok(()) };
+        let Some(mut claim) = limit::quota_claim(&job.spec, &job.policy, now) else {
+            return Ok(());
+        };
         let count = self.table().live().count().max(1) as u32;
         claim.flight = claim.flight.div_ceil(count);
         claim.rate = claim.rate.div_ceil(count);
@@ -71,7 +74,7 @@
         Ok(())
     }
 
-    fn submit_here(&mut self, waiter: Waiter, spec: Spec, now: Now) {
+    fn submit_local(&mut self, waiter: Waiter, spec: Spec, now: Now) {
         let digest = spec.digest();
         if let Some(job) = self.jobs.get_mut(&spec.job) {
             if job.digest != digest {
@@ -96,27 +99,27 @@
             return self.attach(waiter, &spec.job, Some(digest), until, now);
         }
         let job = spec.job.clone();
-        if self.enlist(waiter, spec, digest, now) {
+        if self.accept(waiter, spec, digest, now) {
             self.admit(&job, now);
         }
     }
 
-    /// A job that another zone's journal has admitted, and that is to run here, once.
-    pub(crate) fn submit_foreign(&mut self, waiter: Waiter, spec: Spec, now: Now) {
+    /// Runs a job here that another zone's journal has admitted. It may run only once.
+    pub(crate) fn on_execute(&mut self, waiter: Waiter, spec: Spec, now: Now) {
         if self.jobs.contains_key(&spec.job) {
             return self.reply(waiter, Verdict::unknown("the job runs here already"));
         }
         let id = spec.job.clone();
-        if self.enlist(waiter, spec, 0, now) {
+        if self.accept(waiter, spec, 0, now) {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.journaled = false;
             }
-            self.begin(&id, now);
+            self.start_job(&id, now);
         }
     }
 
-    /// Another zone has ended, or given up, a job that ran there.
-    pub(crate) fn on_foreign(&mut self, id: &id::JobId, verdict: &Verdict, now: Now) {
+    /// Handles the verdict of the zone that ran a job of this zone, or the loss of contact with it.
+    pub(crate) fn on_executed(&mut self, id: &id::JobId, verdict: &Verdict, now: Now) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if !matches!(job.phase, Phase::Running) {
             return;
@@ -132,9 +135,9 @@
         }
     }
 
-    /// Takes a submission on, unless limits forbid it.
-    fn enlist(&mut self, waiter: Waiter, spec: Spec, digest: table::Digest, now: Now) -> bool {
-        let policy = match self.screen(&spec, now) {
+    /// Accepts a submission unless a check refuses it; returns false after a refusal.
+    fn accept(&mut self, waiter: Waiter, spec: Spec, digest: table::Digest, now: Now) -> bool {
+        let policy = match self.validate(&spec, now) {
             Ok(policy) => policy,
             Err(verdict) => {
                 self.reply(waiter, verdict);
@@ -144,7 +147,7 @@
         let deadline = now.after(limit::deadline_ms(&spec, &policy));
         let id = spec.job.clone();
         let mut job = Job::new(sync::Arc::new(spec), digest, deadline, policy);
-        job.arrived = now.mono;
+        job.submitted_at = now.mono;
         job.waiters.push(waiter);
         self.due.insert((deadline, id.clone()));
         self.jobs.insert(id, job);
@@ -152,21 +155,22 @@
     }
 
     pub(crate) fn admit(&mut self, id: &id::JobId, now: Now) {
-        if self.unleased(now.mono) > HOLD {
-            return self.give_up(id, &Verdict::unknown("the zone's journal is out of reach"));
+        if self.unleased(now.mono) > LEASE_TIMEOUT {
+            return self
+                .remove_and_reply(id, &Verdict::unknown("the zone's journal is out of reach"));
         }
         let owner = self.journal.me().clone();
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.retry = now.mono + REPROPOSE;
-        let claim = limit::claim(&job.spec, &job.policy, now);
+        job.retry_at = now.mono + REPROPOSE_INTERVAL;
+        let claim = limit::quota_claim(&job.spec, &job.policy, now);
         let command = table::Command::Admit { job: id.clone(), digest: job.digest, owner, claim };
         self.propose(&command, now);
     }
 
-    /// Drops a job that is not admitted, and answers for it.
-    pub(crate) fn give_up(&mut self, id: &id::JobId, verdict: &Verdict) {
+    /// Removes a job and sends the verdict to everything that waits for it.
+    pub(crate) fn remove_and_reply(&mut self, id: &id::JobId, verdict: &Verdict) {
         if let Some(job) = self.remove(id) {
             for waiter in job.waiters {
                 self.reply(waiter, verdict.clone());
@@ -193,12 +197,12 @@
         let admitting = self.is_admitting(id);
         if owner != self.journal.me() {
             if admitting {
-                self.yield_to_owner(id, now);
+                self.redirect_to_owner(id, now);
             }
         } else if admitting {
-            self.begin(id, now);
+            self.start_job(id, now);
         } else if !self.jobs.contains_key(id) {
-            // Its submission was given up while the admission was on its way.
+            // This instance removed the job while the journal was committing its admission.
             self.propose_end(id, table::Outcome::NotRun, now);
         }
     }
@@ -208,7 +212,7 @@
         let admitting = self.is_admitting(id);
         let owned = self.table().get(id).and_then(|entry| entry.owner.as_ref());
         if mine && admitting && owned != Some(self.journal.me()) {
-            self.yield_to_owner(id, now);
+            self.redirect_to_owner(id, now);
         }
     }
 
@@ -216,22 +220,22 @@
         let admitting = self.is_admitting(id);
         if owner == self.journal.me() && admitting {
             let verdict = Verdict::refuse(Refusal::Quota, "the team is at its quota", retry);
-            self.give_up(id, &verdict);
+            self.remove_and_reply(id, &verdict);
         }
     }
 
-    /// Somebody else owns the job: everybody who waits here waits for the owner's answer.
-    fn yield_to_owner(&mut self, id: &id::JobId, now: Now) {
+    /// Another instance owns the job: redirects all its waiters to the owner's answer.
+    fn redirect_to_owner(&mut self, id: &id::JobId, now: Now) {
         let Some(job) = self.remove(id) else { return };
         for waiter in job.waiters {
             self.attach(waiter, id, Some(job.digest), job.deadline, now);
         }
         if job.cancelled {
-            self.cancel(Waiter::Nobody, id, now);
+            self.cancel(Waiter::Discard, id, now);
         }
     }
 
-    /// Answers for a job that the journal knows, now or when it ends.
+    /// Sends the verdict of a job that is in the journal, now or when the job ends.
     pub(crate) fn attach(
         &mut self,
         waiter: Waiter,
@@ -241,7 +245,8 @@
         now: Now,
     ) {
         let Some(entry) = self.table().get(id).cloned() else {
-            return self.reply(waiter, Verdict::unknown("the journal does not know the job"));
+            return self
+                .reply(waiter, Verdict::unknown("the zone's journal has no entry for the job"));
         };
         if digest.is_some_and(|digest| digest != entry.digest) {
             return self.reply(waiter, conflict());
@@ -271,14 +276,15 @@
             }
             _ => match self.jobs.get_mut(id) {
                 Some(job) => job.waiters.push(waiter),
-                // Owned here and not worked on: no task of it was or will be started.
+                // This instance owns the job but does not work on it: none of its tasks was
+                // started or will be started.
                 None => self.reply(waiter, not_started()),
             },
         }
     }
 
-    /// Puts the tasks of an admitted job into the queue.
-    fn begin(&mut self, id: &id::JobId, now: Now) {
+    /// Puts the tasks of an admitted job into the queue, or sends the job to another zone.
+    fn start_job(&mut self, id: &id::JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -287,12 +293,12 @@
         }
         job.phase = Phase::Running;
         let (spec, deadline) = (sync::Arc::clone(&job.spec), job.deadline);
-        let abroad = job.journaled && job.policy.cross_zone;
-        if abroad
+        let may_leave_zone = job.journaled && job.policy.cross_zone;
+        if may_leave_zone
             && self.fleet.reach(&spec.service, &spec.needs, now.mono) != fleet::Reach::Open
-            && let Some(to) = self.pick_abroad(now)
+            && let Some(to) = self.pick_remote(now)
         {
-            return self.execute_abroad(&spec, &to, now);
+            return self.execute_remote(&spec, &to, now);
         }
         let service = self.services.entry(spec.service.clone()).or_default();
         for index in 0..spec.tasks.len() as u32 {
@@ -302,7 +308,7 @@
         self.dirty.insert(spec.service.clone());
     }
 
-    /// Ends a job: nothing of it starts any more, what runs is told to stop.
+    /// Ends a job: no further task of it starts, and the upstreams must stop its running tasks.
     pub(crate) fn finish(
         &mut self,
         id: &id::JobId,
@@ -310,7 +316,7 @@
         verdict: &Verdict,
         now: Now,
     ) {
-        self.halt(id);
+        self.stop_tasks(id);
         let copies = match verdict {
             Verdict::Complete(answers) => self.copy_answers(id, answers),
             _ => 0,
@@ -319,11 +325,11 @@
             return;
         };
         self.due.remove(&(job.deadline, id.clone()));
-        let patience = now.mono + COPY_PATIENCE;
+        let copy_deadline = now.mono + COPY_TIMEOUT;
         let committed = !job.journaled;
-        job.retry = now.mono + if copies > 0 { COPY_LATE } else { REPROPOSE };
+        job.retry_at = now.mono + if copies > 0 { COPY_RESEND_DELAY } else { REPROPOSE_INTERVAL };
         let waiters = match outcome {
-            // The answer goes out once the journal holds it.
+            // The answers go out once the journal holds the end of the job.
             table::Outcome::Complete => smallvec::SmallVec::new(),
             table::Outcome::Failed | table::Outcome::NotRun => std::mem::take(&mut job.waiters),
         };
@@ -331,9 +337,9 @@
             outcome,
             verdict: verdict.clone(),
             committed,
-            copies,
-            spread: false,
-            patience,
+            unconfirmed: copies,
+            sent_all: false,
+            copy_deadline,
         };
         job.phase = Phase::Ending(ending);
         for waiter in waiters {
@@ -351,20 +357,20 @@
         self.propose(&table::Command::End { job: id.clone(), owner, outcome }, now);
     }
 
-    /// Takes waiting tasks out of the queue and tells upstreams to stop running ones.
-    fn halt(&mut self, id: &id::JobId) {
+    /// Removes waiting tasks from the queue and tells upstreams to stop running ones.
+    fn stop_tasks(&mut self, id: &id::JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if let Some(service) = self.services.get_mut(&job.spec.service) {
-            for index in 0..job.slots.len() as u32 {
+            for index in 0..job.tasks.len() as u32 {
                 service.queue.remove(&Task { job: id.clone(), index });
             }
         }
         let attempts: Vec<_> = job.attempts().map(|(index, a)| (index, a.clone())).collect();
-        for slot in &mut job.slots {
-            if matches!(slot, Slot::Running(_)) {
-                *slot = Slot::Waiting;
+        for task_state in &mut job.tasks {
+            if matches!(task_state, TaskState::Running(_)) {
+                *task_state = TaskState::Waiting;
             }
         }
         for (index, attempt) in attempts {
@@ -379,19 +385,20 @@
         self.out.push(Output::Stop(Stop { task, attempt: number, address }));
     }
 
-    /// Lets a job go once the journal holds its end and the copies are there, or are late.
+    /// Answers and removes a job once the journal holds its end and the copies of its answers are
+    /// confirmed or late.
     pub(crate) fn conclude(&mut self, id: &id::JobId, now: Now) {
         let Some(job) = self.jobs.get(id) else { return };
         let Phase::Ending(ending) = &job.phase else { return };
-        if !ending.committed || (ending.copies > 0 && now.mono < ending.patience) {
+        if !ending.committed || (ending.unconfirmed > 0 && now.mono < ending.copy_deadline) {
             return;
         }
         let verdict = ending.verdict.clone();
         if matches!(verdict, Verdict::Complete(_)) {
-            let over = (now.mono - job.arrived).saturating_sub(job.longest);
+            let over = (now.mono - job.submitted_at).saturating_sub(job.longest_task);
             self.out.push(Output::Over(job.spec.service.clone(), over));
         }
-        self.give_up(id, &verdict);
+        self.remove_and_reply(id, &verdict);
     }
 
     pub(crate) fn on_ended(&mut self, id: &id::JobId, outcome: table::Outcome, now: Now) {
@@ -401,20 +408,23 @@
         };
         match &mut job.phase {
             Phase::Admitting if outcome == table::Outcome::NotRun => {}
-            Phase::Admitting => self.yield_to_owner(id, now),
+            Phase::Admitting => self.redirect_to_owner(id, now),
             Phase::Ending(ending) if ending.outcome == outcome => {
                 ending.committed = true;
                 self.conclude(id, now);
             }
-            // Ended by the others: this instance was taken for dead.
+            // Other members ended the job because they took this instance for crashed.
             Phase::Running | Phase::Ending(_) => {
-                self.halt(id);
-                self.give_up(id, &Verdict::failed("the owner lost contact to the zone's journal"));
+                self.stop_tasks(id);
+                self.remove_and_reply(
+                    id,
+                    &Verdict::failed("the owner lost contact with the zone's journal"),
+                );
             }
         }
     }
 
-    /// After the whole table was replaced: every job goes by what the table says now.
+    /// Brings every job in line with the job table after the whole table was replaced.
     pub(crate) fn review_jobs(&mut self, now: Now) {
         let ids: Vec<_> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -429,17 +439,18 @@
         }
     }
 
-    /// The journal is gone: its jobs can never be proved to have run or not.
+    /// Ends all journaled jobs after the loss of the journal: without it, no instance can ever
+    /// prove whether they have run.
     pub(crate) fn lose_jobs(&mut self) {
         let ids: Vec<_> =
             self.jobs.iter().filter(|(_, job)| job.journaled).map(|(id, _)| id.clone()).collect();
         for id in ids {
-            self.halt(&id);
-            self.give_up(&id, &Verdict::unknown("the zone's journal was lost"));
+            self.stop_tasks(&id);
+            self.remove_and_reply(&id, &Verdict::unknown("the zone's journal was lost"));
         }
     }
 }
 
 fn conflict() -> Verdict {
-    Verdict::refuse(Refusal::Conflict, "the id was used for other content", 0)
+    Verdict::refuse(Refusal::Conflict, "the id was already used for different content", 0)
 }
--- a/crates/coord/src/limit.rs
+++ b/crates/coord/src/limit.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a submission is taken at all, decided for the whole job at once.
+//! Admission control: decides for a whole job at once whether this instance accepts it.
 
 use rand::RngExt as _;
 use state::{name, table, tree};
@@ -10,17 +10,18 @@
     time::{self, Now},
 };
 
-/// The last task of a job is taken to last as long as this quantile of those observed.
-const LAST_TASK: f64 = 0.9;
-/// A wait is taken to be longer by one part in this many than the mean says.
-const CAUTION: u64 = 8;
-/// Shortest time after which a refused client is told to come back, milliseconds.
+/// The estimate for the last task of a job is this quantile of the observed service times.
+const LAST_TASK_QUANTILE: f64 = 0.9;
+/// The estimated wait is the one that follows from the mean, plus that divided by this.
+const WAIT_MARGIN_DIVISOR: u64 = 8;
+/// Minimum retry delay that a refused client gets, milliseconds.
 const MIN_RETRY_MS: u64 = 50;
-/// Longest one.
+/// Maximum retry delay that a refused client gets, milliseconds, before jitter.
 const MAX_RETRY_MS: u64 = 30_000;
 
 impl Core {
-    /// Whether an id of this age can be told from one that ran before.
+    /// Checks that the id is not so old, or so far ahead, that this instance cannot tell whether
+    /// its job ran before.
     pub(crate) fn check_age(&self, spec: &Spec, now: Now) -> Result<(), Verdict> {
         let policy = self.tree().policy_at(spec.service.as_str());
         self.check_minted(spec.job.minted(), policy.retention_ms, now)?;
@@ -50,23 +51,27 @@
         Ok(())
     }
 
-    /// Whether the submission is taken; gives the settings in force for it.
-    pub(crate) fn screen(&mut self, spec: &Spec, now: Now) -> Result<tree::Policy, Verdict> {
+    /// Checks whether this instance accepts the submission; returns the settings in force for it.
+    pub(crate) fn validate(&mut self, spec: &Spec, now: Now) -> Result<tree::Policy, Verdict> {
         if self.draining {
             return Err(Verdict::refuse(Refusal::Draining, "the instance is shutting down", 100));
         }
         let Some(policy) = self.tree().policy(spec.service.as_str()) else {
-            let why = format!("service {} was never set", spec.service);
+            let why = format!("service {} has no settings", spec.service);
             return Err(Verdict::refuse(Refusal::NoService, why, 0));
         };
         if spec.tasks.is_empty() {
             return Err(Verdict::refuse(Refusal::Malformed, "a job needs at least one task", 0));
         }
         if spec.tasks.len() as u64 > policy.max_tasks {
-            let why = format!("{} tasks, at most {}", spec.tasks.len(), policy.max_tasks);
+            let why = format!(
+                "the job has {} tasks, at most {} are allowed",
+                spec.tasks.len(),
+                policy.max_tasks
+            );
             return Err(Verdict::refuse(Refusal::TooLarge, why, 0));
         }
-        if let Some(claim) = claim(spec, &policy, now)
+        if let Some(claim) = quota_claim(spec, &policy, now)
             && claim.flight > 0
             && claim.tasks > claim.flight
         {
@@ -75,7 +80,7 @@
         }
         self.check_reach(spec, &policy, now)?;
         if self.config.trial.limits {
-            self.check_room(spec, &policy, now)?;
+            self.check_capacity(spec, &policy, now)?;
         }
         Ok(policy)
     }
@@ -84,11 +89,11 @@
         match self.fleet.reach(&spec.service, &spec.needs, now.mono) {
             fleet::Reach::Open => Ok(()),
             fleet::Reach::Unfit => {
-                let why = "no upstream of the service could hold such a task";
+                let why = "no upstream of the service meets the needs of a task of the job";
                 Err(Verdict::refuse(Refusal::Impossible, why, 0))
             }
             fleet::Reach::Nobody | fleet::Reach::Closed
-                if policy.cross_zone && self.pick_abroad(now).is_some() =>
+                if policy.cross_zone && self.pick_remote(now).is_some() =>
             {
                 Ok(())
             }
@@ -100,58 +105,65 @@
         }
     }
 
-    /// Refuses what does not fit the queue, or could not be answered in time as far as observed.
-    fn check_room(&mut self, spec: &Spec, policy: &tree::Policy, now: Now) -> Result<(), Verdict> {
+    /// Refuses a job that does not fit into the queue, or that would miss its deadline by the
+    /// observed service times.
+    fn check_capacity(
+        &mut self,
+        spec: &Spec,
+        policy: &tree::Policy,
+        now: Now,
+    ) -> Result<(), Verdict> {
         let room = self.fleet.room(&spec.service, now.mono);
         let left = deadline_ms(spec, policy) * time::MS;
         if room.total == 0 {
             return Ok(());
         }
-        let fresh = Service::default();
-        let service = self.services.get(&spec.service).unwrap_or(&fresh);
+        let default = Service::default();
+        let service = self.services.get(&spec.service).unwrap_or(&default);
         let count = spec.tasks.len() as u64;
         let queued = service.queue.len() as u64;
-        // Slots that idle peers would lend count as long as none has refused lately.
-        let dry = now.mono < service.dry || self.neighbours().is_empty();
-        let slots = u64::from(if dry { room.allowed } else { room.total }).max(1);
+        // Slots that idle peers would lend count, unless a whole round of peers has refused lately.
+        let local_only = now.mono < service.dry || self.neighbours().is_empty();
+        let slots = u64::from(if local_only { room.allowed } else { room.total }).max(1);
         let mean = service.times.mean().unwrap_or(0);
-        let free = if dry { u64::from(room.free) } else { slots.saturating_sub(queued) };
+        let free = if local_only { u64::from(room.free) } else { slots.saturating_sub(queued) };
         if queued + count > policy.max_queue + free {
-            let over = (queued + count).saturating_sub(policy.max_queue);
+            let excess = (queued + count).saturating_sub(policy.max_queue);
             let why = format!("{queued} tasks wait, at most {}", policy.max_queue);
-            let retry = self.retry_after(over * mean / slots);
+            let retry = self.retry_after(excess * mean / slots);
             return Err(Verdict::refuse(Refusal::Overload, why, retry));
         }
         let deadline = now.mono + left;
         let ahead = service.queue.ahead(spec.team.as_ref(), deadline) as u64;
-        let Some(longest) = service.times.quantile(LAST_TASK) else {
+        let Some(longest) = service.times.quantile(LAST_TASK_QUANTILE) else {
             return Ok(());
         };
         let wait = (ahead + count).saturating_sub(free) * mean / slots;
-        let wait = wait + wait / CAUTION;
+        let wait = wait + wait / WAIT_MARGIN_DIVISOR;
         if wait + longest > left {
-            let why = "the deadline cannot be met by the service times observed";
+            let why = "the deadline cannot be met at the observed service times";
             let retry = self.retry_after((wait + longest).saturating_sub(left));
             return Err(Verdict::refuse(Refusal::Overload, why, retry));
         }
         Ok(())
     }
 
-    /// Milliseconds for a wait in microseconds, with jitter so that clients do not come together.
+    /// Converts a wait in microseconds to a retry delay in milliseconds, with jitter so that
+    /// clients do not retry at the same time.
     fn retry_after(&mut self, wait: u64) -> u64 {
         let ms = (wait / time::MS).clamp(MIN_RETRY_MS, MAX_RETRY_MS);
         self.rng.random_range(ms..=ms + ms / 2)
     }
 }
 
-/// Time that a submission has, milliseconds.
+/// Time left until the deadline of a submission, milliseconds.
 pub(crate) fn deadline_ms(spec: &Spec, policy: &tree::Policy) -> u64 {
     let asked = if spec.left_ms == 0 { policy.deadline_ms } else { spec.left_ms };
     asked.min(policy.max_deadline_ms)
 }
 
-/// What a submission takes of its team's quota, if one is set.
-pub(crate) fn claim(spec: &Spec, policy: &tree::Policy, now: Now) -> Option<table::Claim> {
+/// The claim of a submission on its team's quota, if the service has one set.
+pub(crate) fn quota_claim(spec: &Spec, policy: &tree::Policy, now: Now) -> Option<table::Claim> {
     let team = spec.team.as_ref()?;
     if policy.team_in_flight == 0 && policy.team_rate == 0 {
         return None;
--- a/crates/coord/src/overdue.rs
+++ b/crates/coord/src/overdue.rs
@@ -1,5 +1,5 @@
-//! What becomes of jobs at this instance as time passes: proposals repeated, hedges, deadlines, a
-//! journal that is out of reach for too long, and forgetting.
+//! Timers of the jobs at this instance: repeated proposals, hedges, deadlines, a journal that is
+//! unreachable for too long, and the removal of expired state.
 
 use state::{id, table};
 
@@ -10,12 +10,12 @@
     time::{self, Now},
 };
 
-/// Between two proposals of the same command, microseconds.
-pub(crate) const REPROPOSE: u64 = 300 * time::MS;
-/// Between two rounds of forgetting, microseconds.
-const PRUNE: u64 = 1_000 * time::MS;
-/// Forgetting waits this much longer than the retention, milliseconds.
-const PRUNE_MARGIN_MS: u64 = 60_000;
+/// Interval between two proposals of the same command, microseconds.
+pub(crate) const REPROPOSE_INTERVAL: u64 = 300 * time::MS;
+/// Interval between two removals of expired state, microseconds.
+const PRUNE_INTERVAL: u64 = 1_000 * time::MS;
+/// Pruning keeps entries this much longer than the retention, milliseconds.
+const RETENTION_MARGIN_MS: u64 = 60_000;
 
 impl Core {
     pub(crate) fn tick_jobs(&mut self, now: Now) {
@@ -25,22 +25,22 @@
             self.due.pop_first();
             self.on_deadline(&id, now);
         }
-        let lost = self.unleased(now.mono) > LOST_CONTACT;
-        let mut again = Vec::new();
+        let lost_contact = self.unleased(now.mono) > LOST_CONTACT;
+        let mut due = Vec::new();
         for (id, job) in &self.jobs {
             let pending = !matches!(job.phase, Phase::Running);
-            let lonely = lost && job.journaled && !job.waiters.is_empty();
+            let cut_off = lost_contact && job.journaled && !job.waiters.is_empty();
             let hedged = job.retryable && job.policy.hedge_quantile > 0.0;
-            if lonely || hedged || (pending && now.mono >= job.retry) {
-                again.push(id.clone());
+            if cut_off || hedged || (pending && now.mono >= job.retry_at) {
+                due.push(id.clone());
             }
         }
-        for id in again {
-            self.revisit(&id, lost, now);
+        for id in due {
+            self.tick_job(&id, lost_contact, now);
         }
     }
 
-    fn revisit(&mut self, id: &id::JobId, lost: bool, now: Now) {
+    fn tick_job(&mut self, id: &id::JobId, lost_contact: bool, now: Now) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -48,8 +48,8 @@
             Phase::Admitting => self.admit(id, now),
             Phase::Ending(ending) => {
                 let (outcome, committed) = (ending.outcome, ending.committed);
-                job.retry = now.mono + REPROPOSE;
-                self.spread_copies(id);
+                job.retry_at = now.mono + REPROPOSE_INTERVAL;
+                self.resend_copies(id);
                 if committed {
                     self.conclude(id, now);
                 } else {
@@ -59,10 +59,10 @@
             Phase::Running if job.retryable => self.hedge(id, now),
             Phase::Running => {}
         }
-        if lost && let Some(job) = self.jobs.get_mut(id).filter(|job| job.journaled) {
+        if lost_contact && let Some(job) = self.jobs.get_mut(id).filter(|job| job.journaled) {
             let waiters = std::mem::take(&mut job.waiters);
             for waiter in waiters {
-                let why = "the owner lost contact to the zone's journal";
+                let why = "the owner lost contact with the zone's journal";
                 self.reply(waiter, Verdict::unknown(why));
             }
         }
@@ -72,10 +72,10 @@
         let Some(job) = self.jobs.get(id) else { return };
         match job.phase {
             Phase::Admitting if !self.has_lease(now.mono) => {
-                self.give_up(id, &Verdict::unknown("the zone's journal is out of reach"));
+                self.remove_and_reply(id, &Verdict::unknown("the zone's journal is out of reach"));
             }
-            Phase::Admitting => self.give_up(id, &not_started()),
-            Phase::Running if job.ran == 0 => {
+            Phase::Admitting => self.remove_and_reply(id, &not_started()),
+            Phase::Running if job.started == 0 => {
                 self.finish(id, table::Outcome::NotRun, &not_started(), now);
             }
             Phase::Running => {
@@ -87,15 +87,16 @@
         }
     }
 
-    /// Forgets what is older than the longest retention.
+    /// Removes the state of jobs that are older than the longest retention, expired upstreams and
+    /// idle teams.
     pub(crate) fn prune(&mut self, now: Now) {
         if now.mono < self.prune_at {
             return;
         }
-        self.prune_at = now.mono + PRUNE;
+        self.prune_at = now.mono + PRUNE_INTERVAL;
         self.fleet.prune(now.mono);
         let longest = self.tree().longest_retention();
-        let before = now.wall.saturating_sub(longest + PRUNE_MARGIN_MS);
+        let before = now.wall.saturating_sub(longest + RETENTION_MARGIN_MS);
         self.journal.machine_mut().table.prune(before);
         for group in self.witness.values_mut() {
             group.machine_mut().table.prune(before);
@@ -107,7 +108,7 @@
     }
 }
 
-/// The answer to a job of which nothing was started in time.
+/// The verdict of a job none of whose tasks was started before the deadline.
 pub(crate) fn not_started() -> Verdict {
     const RETRY_MS: u64 = 100;
     Verdict::refuse(Refusal::Expired, "no task was started before the deadline", RETRY_MS)
--- a/crates/coord/src/place.rs
+++ b/crates/coord/src/place.rs
@@ -1,4 +1,4 @@
-//! Placement: which of the upstreams with a free slot gets the next task.
+//! Placement: chooses the upstream that gets the next task, among those with a free slot.
 
 use rand::RngExt as _;
 use state::boot;
@@ -6,16 +6,16 @@
 /// An upstream that could take the task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Tasks that this instance has there.
+    /// Tasks that this instance has running there.
     pub outstanding: u32,
     /// Slots that this instance may use there.
     pub slots: u32,
-    /// Mean service time observed there, microseconds; 0 before the first.
+    /// Mean service time observed there, microseconds; 0 before the first observation.
     pub mean: f64,
 }
 
 impl Candidate {
-    /// Expected work on the upstream with one more task, per slot.
+    /// Expected work per slot of the upstream, in service time, with one more task on it.
     fn work(&self, typical: f64) -> f64 {
         let mean = if self.mean > 0.0 { self.mean } else { typical };
         let load = f64::from(self.outstanding + 1) / f64::from(self.slots.max(1));
@@ -23,13 +23,13 @@
     }
 }
 
-/// A way to choose among upstreams.
+/// A strategy for choosing among upstreams.
 pub trait Placer: std::fmt::Debug + Send {
-    /// Position of the upstream to use; `candidates` is not empty.
+    /// Returns the index of the upstream to use; `candidates` must not be empty.
     fn pick(&mut self, candidates: &[Candidate], rng: &mut rand::rngs::SmallRng) -> usize;
 }
 
-/// The placer for a bootstrap choice.
+/// Creates the placer for the choice in the bootstrap configuration.
 pub fn placer(choice: boot::Placement) -> Box<dyn Placer> {
     match choice {
         boot::Placement::LeastWork => Box::new(LeastWork),
@@ -38,7 +38,8 @@
     }
 }
 
-/// Least expected work; ties are broken at random so that instances do not move in step.
+/// Picks the least expected work. A random start breaks ties, so that instances do not all pick the
+/// same upstream at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastWork;
 
@@ -55,7 +56,7 @@
     }
 }
 
-/// The less loaded of two random upstreams (Mitzenmacher 2001).
+/// Picks the less loaded of two random upstreams: the power of two choices (Mitzenmacher 2001).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TwoChoices;
 
@@ -67,7 +68,7 @@
     }
 }
 
-/// One after the other.
+/// Picks the candidates in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
--- a/crates/coord/src/queue.rs
+++ b/crates/coord/src/queue.rs
@@ -1,4 +1,5 @@
-//! The queue of one service: fair between teams, earliest deadline first within a team.
+//! The task queue of one service: fair sharing between teams, earliest deadline first within a
+//! team.
 
 use std::collections;
 
@@ -9,48 +10,49 @@
 pub struct Task {
     /// The job.
     pub job: id::JobId,
-    /// Position in the job, from 0.
+    /// Index of the task in the job, from 0.
     pub index: u32,
 }
 
 #[derive(Debug, Default)]
 struct Team {
-    /// Tasks started, as the fair share counts them.
+    /// Tasks started, in the virtual time of the fair sharing.
     served: u64,
     tasks: collections::BTreeMap<(u64, u64), Task>,
 }
 
-/// Tasks that wait for a slot.
+/// The tasks that wait for a slot.
 #[derive(Debug, Default)]
 pub struct Queue {
     teams: collections::BTreeMap<Option<name::Name>, Team>,
-    places: collections::HashMap<Task, (Option<name::Name>, (u64, u64))>,
-    order: u64,
-    floor: u64,
+    positions: collections::HashMap<Task, (Option<name::Name>, (u64, u64))>,
+    sequence: u64,
+    min_served: u64,
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tasks waiting.
+    /// Number of waiting tasks.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether no task waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Tasks of other teams or with an earlier deadline than `deadline`, which would start first.
+    /// Number of tasks that would start before a new task of `team` with this deadline: tasks of
+    /// other teams, and those of the same team that have the same or an earlier deadline.
     pub fn ahead(&self, team: Option<&name::Name>, deadline: u64) -> usize {
         let own = self.teams.iter().find(|(name, _)| name.as_ref() == team);
         let own = own.map_or(0, |(_, t)| t.tasks.range(..(deadline, u64::MAX)).count());
         let waiting = self.teams.values().filter(|t| !t.tasks.is_empty()).count();
-        // Each other team gets one start for each of this team's.
+        // Each other team may start one task for each task that this team starts.
         let others: usize = self
             .teams
             .iter()
@@ -60,32 +62,33 @@
         if waiting == 0 { 0 } else { own + others }
     }
 
-    /// Puts a task in its place.
+    /// Inserts a task.
     pub fn push(&mut self, team: Option<&name::Name>, deadline: u64, task: Task) {
-        self.order += 1;
-        let key = (deadline, self.order);
-        let floor = self.floor;
+        self.sequence += 1;
+        let key = (deadline, self.sequence);
+        let min_served = self.min_served;
         let entry = self.teams.entry(team.cloned()).or_default();
         if entry.tasks.is_empty() {
-            // A team that was away does not catch up on what it did not ask for.
-            entry.served = entry.served.max(floor);
+            // A team without waiting tasks earns no credit for the shares that it did not use.
+            entry.served = entry.served.max(min_served);
         }
         entry.tasks.insert(key, task.clone());
-        self.places.insert(task, (team.cloned(), key));
+        self.positions.insert(task, (team.cloned(), key));
     }
 
-    /// Takes the task that is next.
+    /// Removes and returns the next task.
     pub fn pop(&mut self) -> Option<Task> {
         let waiting = self.teams.values_mut().filter(|team| !team.tasks.is_empty());
         let team = waiting.min_by_key(|team| team.served)?;
-        self.floor = team.served;
+        self.min_served = team.served;
         team.served += 1;
         let (_, task) = team.tasks.pop_first()?;
-        self.places.remove(&task);
+        self.positions.remove(&task);
         Some(task)
     }
 
-    /// Puts back a task that was taken and could not be started.
+    /// Puts back a task that `pop` returned and that could not start, and takes back the start
+    /// counted for its team.
     pub fn put_back(&mut self, team: Option<&name::Name>, deadline: u64, task: Task) {
         self.push(team, deadline, task);
         if let Some(entry) = self.teams.get_mut(&team.cloned()) {
@@ -93,9 +96,9 @@
         }
     }
 
-    /// Removes a task; false if it does not wait here.
+    /// Removes a task; returns false if it is not in the queue.
     pub fn remove(&mut self, task: &Task) -> bool {
-        let Some((team, key)) = self.places.remove(task) else {
+        let Some((team, key)) = self.positions.remove(task) else {
             return false;
         };
         if let Some(entry) = self.teams.get_mut(&team) {
@@ -104,9 +107,10 @@
         true
     }
 
-    /// Forgets teams that have nothing waiting and are no longer behind.
+    /// Removes teams without waiting tasks, unless their count is above `min_served`: `push` would
+    /// raise any lower count to `min_served` anyway.
     pub fn prune(&mut self) {
-        let floor = self.floor;
-        self.teams.retain(|_, team| !team.tasks.is_empty() || team.served > floor);
+        let min_served = self.min_served;
+        self.teams.retain(|_, team| !team.tasks.is_empty() || team.served > min_served);
     }
 }
--- a/crates/coord/src/retry.rs
+++ b/crates/coord/src/retry.rs
@@ -1,9 +1,10 @@
-//! Retry budgets: retries are a share of successes, so that they cannot multiply an outage.
+//! Retry budgets: retries are limited to a share of successes, so that they cannot amplify an
+//! outage.
 
 /// Retries that a service may make before its first success.
-const INITIAL: f64 = 3.0;
-/// Most retries that are saved up.
-const MOST: f64 = 20.0;
+const INITIAL_TOKENS: f64 = 3.0;
+/// Maximum number of retries that a budget accumulates.
+const MAX_TOKENS: f64 = 20.0;
 
 /// The retry budget of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -13,17 +14,17 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { tokens: INITIAL }
+        Self { tokens: INITIAL_TOKENS }
     }
 }
 
 impl Budget {
-    /// A success earns `share` of a retry.
+    /// Adds `share` of a retry for one success.
     pub fn earn(&mut self, share: f64) {
-        self.tokens = (self.tokens + share).min(MOST);
+        self.tokens = (self.tokens + share).min(MAX_TOKENS);
     }
 
-    /// Takes one retry; false if there is none left.
+    /// Consumes one retry; returns false if none is left.
     pub fn spend(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
--- a/crates/coord/src/run.rs
+++ b/crates/coord/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting tasks: dispatch, their ends, retries, hedges and borrowed slots.
+//! Task execution: dispatch, results, retries, hedges and borrowed slots.
 
 use state::{id, name, table};
 
@@ -6,20 +6,21 @@
     core::Core,
     event::{Done, Finish, Output, Start},
     fleet,
-    job::{Attempt, Phase, Slot},
+    job::{Attempt, Phase, TaskState},
     message::{self, Body, Verdict},
     queue::Task,
     time::{self, Now},
 };
 
-/// Tasks at the head of a queue that are passed over when none fits a free slot.
+/// Maximum number of tasks at the head of a queue that one dispatch skips because no free slot
+/// fits them.
 const LOOK_AHEAD: usize = 8;
-/// Most slots asked for in one message.
-const MAX_ASK: u32 = 64;
-/// An unanswered question for slots counts as refused after this, microseconds.
-const ASK_PATIENCE: u64 = 300 * time::MS;
-/// Shortest and longest pause after every peer has refused to lend, microseconds.
-const DRY: (u64, u64) = (50 * time::MS, 1_000 * time::MS);
+/// Maximum number of slots requested in one message.
+const MAX_LOAN: u32 = 64;
+/// A request for slots without an answer counts as refused after this, microseconds.
+const LOAN_TIMEOUT: u64 = 300 * time::MS;
+/// Minimum and maximum backoff after every peer has refused to lend, microseconds.
+const LOAN_BACKOFF: (u64, u64) = (50 * time::MS, 1_000 * time::MS);
 
 impl Core {
     pub(crate) fn dispatch_dirty(&mut self, now: Now) {
@@ -34,8 +35,8 @@
         }
         let lease = if self.has_lease(now.mono) { self.journal.lease(now.mono) } else { 0 };
         let mut free = self.fleet.room(service, now.mono).free;
-        let mut passed = Vec::new();
-        while passed.len() < LOOK_AHEAD && free > 0 {
+        let mut skipped = Vec::new();
+        while skipped.len() < LOOK_AHEAD && free > 0 {
             let queue = self.services.get_mut(service).map(|service| &mut service.queue);
             let Some(task) = queue.and_then(crate::queue::Queue::pop) else {
                 break;
@@ -43,15 +44,15 @@
             if self.start(&task, lease, None, now) {
                 free -= 1;
             } else {
-                passed.push(task);
+                skipped.push(task);
             }
         }
-        for task in passed {
+        for task in skipped {
             self.put_back(task);
         }
         let waiting = self.services.get(service).is_some_and(|s| !s.queue.is_empty());
         if waiting {
-            self.ask_slots(service, now);
+            self.request_slots(service, now);
         }
     }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Starts one attempt at a task; false if no upstream may take it now.
+    /// Starts one attempt at a task; returns false if no upstream may take it now.
     fn start(&mut self, task: &Task, lease: u64, avoid: Option<&name::Name>, now: Now) -> bool {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return true;
@@ -92,11 +93,11 @@
             lease: if job.journaled { lease } else { u64::MAX },
             trace: spec.trace.clone(),
         };
-        let attempt = Attempt { number, upstream, address, since: now.mono };
-        job.ran += 1;
-        match &mut job.slots[task.index as usize] {
-            Slot::Running(attempts) => attempts.push(attempt),
-            slot => *slot = Slot::Running(smallvec::smallvec![attempt]),
+        let attempt = Attempt { number, upstream, address, started_at: now.mono };
+        job.started += 1;
+        match &mut job.tasks[task.index as usize] {
+            TaskState::Running(attempts) => attempts.push(attempt),
+            task_state => *task_state = TaskState::Running(smallvec::smallvec![attempt]),
         }
         self.counts.starts += 1;
         self.out.push(Output::Start(start));
@@ -112,11 +113,15 @@
         };
         let service = self.fleet.table().get(done.upstream.as_str()).map(|l| &l.info.service);
         self.dirty.extend(service.cloned());
-        let wanted = self.take_attempt(&done);
-        // A task that was told to stop says nothing about its upstream by failing.
-        let told = !wanted && end == fleet::End::Failed;
-        self.fleet.finish(&done.upstream, if told { fleet::End::Neutral } else { end }, now.mono);
-        if !wanted {
+        let expected = self.take_attempt(&done);
+        // If this instance has stopped a task, its failure is no sign of a fault of the upstream.
+        let cancelled = !expected && end == fleet::End::Failed;
+        self.fleet.finish(
+            &done.upstream,
+            if cancelled { fleet::End::Neutral } else { end },
+            now.mono,
+        );
+        if !expected {
             return;
         }
         match done.finish {
@@ -126,13 +131,13 @@
         }
     }
 
-    /// Takes an attempt out of its job; false if the job does not wait for it.
+    /// Removes an attempt from its job; returns false if the job does not wait for it.
     fn take_attempt(&mut self, done: &Done) -> bool {
         let Some(job) = self.jobs.get_mut(&done.task.job) else {
             return false;
         };
-        let slot = job.slots.get_mut(done.task.index as usize);
-        let Some(Slot::Running(attempts)) = slot else {
+        let task_state = job.tasks.get_mut(done.task.index as usize);
+        let Some(TaskState::Running(attempts)) = task_state else {
             return false;
         };
         let before = attempts.len();
@@ -144,14 +149,14 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let slot = &mut job.slots[task.index as usize];
-        let others = match std::mem::replace(slot, Slot::Done(answer)) {
-            Slot::Running(attempts) => attempts,
-            Slot::Waiting | Slot::Done(_) => smallvec::SmallVec::new(),
+        let task_state = &mut job.tasks[task.index as usize];
+        let others = match std::mem::replace(task_state, TaskState::Done(answer)) {
+            TaskState::Running(attempts) => attempts,
+            TaskState::Waiting | TaskState::Done(_) => smallvec::SmallVec::new(),
         };
-        job.open -= 1;
-        job.longest = job.longest.max(took);
-        let complete = job.open == 0;
+        job.unanswered -= 1;
+        job.longest_task = job.longest_task.max(took);
+        let complete = job.unanswered == 0;
         let answers = if complete { job.answers() } else { Vec::new() };
         if let Some(service) = self.services.get_mut(&job.spec.service) {
             service.times.note(took);
@@ -166,16 +171,16 @@
         }
     }
 
-    /// It is proved that the attempt started nothing, so the task may go elsewhere.
+    /// Requeues a task whose attempt provably started nothing, so another upstream may run it.
     fn on_unstarted(&mut self, task: &Task) {
         self.counts.moved += 1;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        job.ran -= 1;
-        let slot = &mut job.slots[task.index as usize];
-        if matches!(slot, Slot::Running(attempts) if attempts.is_empty()) {
-            *slot = Slot::Waiting;
+        job.started -= 1;
+        let task_state = &mut job.tasks[task.index as usize];
+        if matches!(task_state, TaskState::Running(attempts) if attempts.is_empty()) {
+            *task_state = TaskState::Waiting;
             let (team, deadline) = (job.spec.team.clone(), job.deadline);
             if let Some(service) = self.services.get_mut(&job.spec.service) {
                 service.queue.push(team.as_ref(), deadline, task.clone());
@@ -187,15 +192,15 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let slot = &mut job.slots[task.index as usize];
-        if matches!(slot, Slot::Running(attempts) if !attempts.is_empty()) {
-            // A hedge of it is still under way.
+        let task_state = &mut job.tasks[task.index as usize];
+        if matches!(task_state, TaskState::Running(attempts) if !attempts.is_empty()) {
+            // Another attempt at the task is still running.
             return;
         }
         let retryable = job.retryable && now.mono < job.deadline;
         let budget = self.services.get_mut(&job.spec.service).map(|service| &mut service.budget);
         if retryable && budget.is_some_and(crate::retry::Budget::spend) {
-            *slot = Slot::Waiting;
+            *task_state = TaskState::Waiting;
             self.counts.retries += 1;
             if !self.start(task, u64::MAX, Some(upstream), now) {
                 self.put_back(task.clone());
@@ -208,7 +213,8 @@
         self.finish(&task.job, table::Outcome::Failed, &verdict, now);
     }
 
-    /// Starts a second attempt at a request that takes longer than the quantile set for it.
+    /// Starts a second attempt at each task that takes longer than the `hedge_quantile` of the
+    /// observed service times.
     pub(crate) fn hedge(&mut self, id: &id::JobId, now: Now) {
         let Some(job) = self.jobs.get(id) else { return };
         let service = job.spec.service.clone();
@@ -216,8 +222,9 @@
         let quantile = times.and_then(|times| times.quantile(job.policy.hedge_quantile));
         let Some(limit) = quantile else { return };
         let late = |(index, attempt): (u32, &Attempt)| {
-            let alone = matches!(&job.slots[index as usize], Slot::Running(a) if a.len() == 1);
-            (alone && now.mono > attempt.since + limit).then(|| (index, attempt.upstream.clone()))
+            let alone = matches!(&job.tasks[index as usize], TaskState::Running(a) if a.len() == 1);
+            (alone && now.mono > attempt.started_at + limit)
+                .then(|| (index, attempt.upstream.clone()))
         };
         let late: Vec<_> = job.attempts().filter_map(late).collect();
         for (index, upstream) in late {
@@ -232,8 +239,8 @@
         }
     }
 
-    /// Asks one peer after the other for idle slots, one message at a time.
-    fn ask_slots(&mut self, service: &name::Name, now: Now) {
+    /// Requests idle slots from the peers in turn, with one outstanding request at a time.
+    fn request_slots(&mut self, service: &name::Name, now: Now) {
         let peers = self.neighbours();
         let trial = self.config.trial;
         if peers.is_empty() || !trial.borrow || !trial.shares {
@@ -242,14 +249,14 @@
         let Some(entry) = self.services.get_mut(service) else {
             return;
         };
-        let waits = entry.asking.is_some() && now.mono < entry.asked + ASK_PATIENCE;
-        if waits || now.mono < entry.dry {
+        let outstanding = entry.asking.is_some() && now.mono < entry.asked + LOAN_TIMEOUT;
+        if outstanding || now.mono < entry.dry {
             return;
         }
         let to = peers[entry.turn % peers.len()].clone();
         entry.asking = Some(to.clone());
         entry.asked = now.mono;
-        let count = (entry.queue.len() as u32).min(MAX_ASK);
+        let count = (entry.queue.len() as u32).min(MAX_LOAN);
         let (number, service) = (entry.asked, service.clone());
         let held = self.fleet.held(&to, &service);
         self.counts.asked_loans += 1;
@@ -295,7 +302,7 @@
         if slots.is_empty() {
             entry.turn += 1;
             if entry.turn.is_multiple_of(peers) {
-                entry.pause = (entry.pause * 2).clamp(DRY.0, DRY.1);
+                entry.pause = (entry.pause * 2).clamp(LOAN_BACKOFF.0, LOAN_BACKOFF.1);
                 entry.dry = now.mono + entry.pause;
             }
         } else {
@@ -307,13 +314,14 @@
         self.dirty.insert(service.clone());
     }
 
-    /// Gives back borrowed slots that are idle, not at once: the next job may need them again.
-    pub(crate) fn return_slots(&mut self, now: Now) {
-        const PAUSE: u64 = 200 * time::MS;
+    /// Returns idle borrowed slots, at intervals instead of at once because the next job may need
+    /// them again.
+    pub(crate) fn return_idle_slots(&mut self, now: Now) {
+        const RETURN_INTERVAL: u64 = 200 * time::MS;
         if now.mono < self.return_at || self.fleet.loans().total() == 0 {
             return;
         }
-        self.return_at = now.mono + PAUSE;
+        self.return_at = now.mono + RETURN_INTERVAL;
         for (to, slots) in self.fleet.give_back() {
             self.send(&to, Body::Loan(message::Loan::Return { slots }));
         }
--- a/crates/coord/src/share.rs
+++ b/crates/coord/src/share.rs
@@ -1,9 +1,9 @@
-//! Slot shares: how many of an upstream's slots this instance may use, and the loans between
+//! Slot shares: how many of an upstream's slots this instance may use, and the slot loans between
 //! instances.
 //!
-//! A share follows from the zone's membership alone, so a steady state costs no messages. Idle
-//! slots are lent on request, for a bounded time counted from the request, so that a grant that
-//! comes late is worth less, never more.
+//! A share depends only on the zone's membership, so a steady state needs no messages. Instances
+//! lend idle slots on request. The borrower counts the loan's time limit from its request, so a
+//! grant that arrives late leaves less time to use the slots, never more.
 
 use std::collections;
 
@@ -11,22 +11,22 @@
 
 use crate::time;
 
-/// The borrower starts nothing on a lent slot later than this after it asked, microseconds.
-pub const USABLE: u64 = 5_000 * time::MS;
-/// The lender takes a slot back by itself this long after it lent it, microseconds.
-pub const RECLAIM: u64 = 10_000 * time::MS;
+/// The borrower starts no task on a borrowed slot later than this after its request, microseconds.
+pub const BORROW_PERIOD: u64 = 5_000 * time::MS;
+/// The lender reclaims a slot without a message this long after it lent the slot, microseconds.
+pub const RECLAIM_DELAY: u64 = 10_000 * time::MS;
 
-/// Slots of one upstream that the instance at `rank` of `count` may use.
+/// Number of slots of one upstream that the instance at `rank` of `count` may use.
 ///
-/// The shares of all ranks add up to `slots`. Which ranks get one more than the others differs
-/// from upstream to upstream.
+/// The shares of all ranks add up to `slots`. If they cannot be equal, some ranks get one slot more
+/// than the others; which ranks these are depends on the upstream.
 pub fn share(upstream: &str, slots: u32, rank: u32, count: u32) -> u32 {
     if count == 0 {
         return 0;
     }
-    let turn = id::short(upstream) % count;
-    let place = (rank + count - turn) % count;
-    slots / count + u32::from(place < slots % count)
+    let offset = id::short(upstream) % count;
+    let position = (rank + count - offset) % count;
+    slots / count + u32::from(position < slots % count)
 }
 
 /// Slots lent to one peer.
@@ -47,7 +47,7 @@
     until: u64,
 }
 
-/// Loans of one instance, given and taken.
+/// Slots that one instance has lent and borrowed.
 #[derive(Clone, Debug, Default)]
 pub struct Loans {
     lent: Vec<Lent>,
@@ -55,56 +55,56 @@
 }
 
 impl Loans {
-    /// No loans.
+    /// Creates an empty set of loans.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Slots of an upstream that are lent to others.
+    /// Number of slots of an upstream that this instance has lent to peers.
     pub fn lent(&self, upstream: &name::Name) -> u32 {
         self.lent.iter().filter(|loan| loan.upstream == *upstream).map(|loan| loan.slots).sum()
     }
 
-    /// Slots of an upstream that are borrowed from others and may still be used.
+    /// Number of slots of an upstream that this instance has borrowed and may still use.
     pub fn borrowed(&self, upstream: &name::Name, now: u64) -> u32 {
         let usable = |loan: &&Borrowed| loan.upstream == *upstream && now < loan.until;
         self.borrowed.iter().filter(usable).map(|loan| loan.slots).sum()
     }
 
-    /// All slots borrowed at present.
+    /// Total number of borrowed slots, on all upstreams.
     pub fn total(&self) -> u32 {
         self.borrowed.iter().map(|loan| loan.slots).sum()
     }
 
-    /// Notes a loan to a peer.
+    /// Records slots lent to a peer.
     pub fn lend(&mut self, to: &name::Name, upstream: &name::Name, slots: u32, now: u64) {
         let (to, upstream) = (to.clone(), upstream.clone());
-        self.lent.push(Lent { to, upstream, slots, until: now + RECLAIM });
+        self.lent.push(Lent { to, upstream, slots, until: now + RECLAIM_DELAY });
     }
 
-    /// Notes a loan of a peer, asked for at `asked`.
+    /// Records slots borrowed from a peer; `asked` is the time of the request.
     pub fn borrow(&mut self, from: &name::Name, upstream: &name::Name, slots: u32, asked: u64) {
         let (from, upstream) = (from.clone(), upstream.clone());
-        self.borrowed.push(Borrowed { from, upstream, slots, until: asked + USABLE });
+        self.borrowed.push(Borrowed { from, upstream, slots, until: asked + BORROW_PERIOD });
     }
 
-    /// Slots borrowed from a peer on the upstreams that `counts` holds for.
-    pub fn held(&self, from: &name::Name, counts: impl Fn(&name::Name) -> bool) -> u32 {
+    /// Number of slots borrowed from a peer on the upstreams for which `covers` returns true.
+    pub fn held(&self, from: &name::Name, covers: impl Fn(&name::Name) -> bool) -> u32 {
         let from = self.borrowed.iter().filter(|loan| loan.from == *from);
-        from.filter(|loan| counts(&loan.upstream)).map(|loan| loan.slots).sum()
+        from.filter(|loan| covers(&loan.upstream)).map(|loan| loan.slots).sum()
     }
 
-    /// Takes back what was lent to a peer beyond the slots that it holds, latest loans first.
-    pub fn settle(&mut self, to: &name::Name, held: u32, counts: impl Fn(&name::Name) -> bool) {
+    /// Reclaims slots lent to a peer beyond the `held` slots that it reports, latest loans first.
+    pub fn settle(&mut self, to: &name::Name, held: u32, covers: impl Fn(&name::Name) -> bool) {
         let mut left = held;
-        for loan in self.lent.iter_mut().filter(|l| l.to == *to && counts(&l.upstream)) {
+        for loan in self.lent.iter_mut().filter(|l| l.to == *to && covers(&l.upstream)) {
             loan.slots = loan.slots.min(left);
             left -= loan.slots;
         }
         self.lent.retain(|loan| loan.slots > 0);
     }
 
-    /// A peer gives slots back.
+    /// Records that a peer has returned slots.
     pub fn returned(&mut self, by: &name::Name, upstream: &name::Name, slots: u32) {
         let mut left = slots;
         for loan in self.lent.iter_mut().filter(|l| l.to == *by && l.upstream == *upstream) {
@@ -115,8 +115,8 @@
         self.lent.retain(|loan| loan.slots > 0);
     }
 
-    /// Gives back borrowed slots that `idle` says are not needed, by lender. Expired loans whose
-    /// slots are in use are kept until they are idle.
+    /// Removes the borrowed slots that are idle, as many per upstream as `idle` returns, and
+    /// returns them by lender. Expired loans whose slots are in use stay until the slots are idle.
     pub fn give_back(
         &mut self,
         mut idle: impl FnMut(&name::Name) -> u32,
@@ -137,15 +137,15 @@
         returns
     }
 
-    /// Takes back loans whose time is over.
+    /// Removes expired loans: lent slots at their time limit, borrowed ones `RECLAIM_DELAY` later.
     pub fn reclaim(&mut self, now: u64) {
         self.lent.retain(|loan| now < loan.until);
-        self.borrowed.retain(|loan| now < loan.until + RECLAIM);
+        self.borrowed.retain(|loan| now < loan.until + RECLAIM_DELAY);
     }
 
-    /// Ends all loans with instances that `stays` does not hold for.
-    pub fn keep(&mut self, stays: impl Fn(&name::Name) -> bool) {
-        self.lent.retain(|loan| stays(&loan.to));
-        self.borrowed.retain(|loan| stays(&loan.from));
+    /// Removes all loans with instances for which `is_member` returns false.
+    pub fn keep(&mut self, is_member: impl Fn(&name::Name) -> bool) {
+        self.lent.retain(|loan| is_member(&loan.to));
+        self.borrowed.retain(|loan| is_member(&loan.from));
     }
 }
--- a/crates/coord/src/waiter.rs
+++ b/crates/coord/src/waiter.rs
@@ -1,15 +1,17 @@
-//! Who waits for a verdict.
+//! The receivers of a verdict.
 
 use state::name;
 
 use crate::event::Ticket;
 
-/// Who waits for a verdict.
+/// The receiver of a verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
     Ticket(Ticket),
-    /// Asks how a job stands; not counted as a submission.
+    /// A client that queries or cancels a job; its reply does not count as a submission's outcome.
     Viewer(Ticket),
+    /// A peer, with the number of its call.
     Peer(name::Name, u64),
-    Nobody,
+    /// Nothing receives the verdict.
+    Discard,
 }
