--- a/crates/proto/src/error.rs
+++ b/crates/proto/src/error.rs
@@ -1,20 +1,20 @@
-//! Faults of input at the border.
+//! Errors of input validation.
 
 use std::fmt;
 
-/// Input that was not understood.
+/// An error from parsing or validating input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     step: &'static str,
-    why: String,
+    reason: String,
 }
 
 impl Error {
-    pub(crate) fn new(step: &'static str, why: impl fmt::Display) -> Self {
-        Self { step, why: why.to_string() }
+    pub(crate) fn new(step: &'static str, reason: impl fmt::Display) -> Self {
+        Self { step, reason: reason.to_string() }
     }
 
-    /// What was being read.
+    /// Returns the operation that failed.
     pub fn step(&self) -> &'static str {
         self.step
     }
@@ -22,7 +22,7 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.step, self.why)
+        write!(f, "{}: {}", self.step, self.reason)
     }
 }
 
--- a/crates/proto/src/json.rs
+++ b/crates/proto/src/json.rs
@@ -5,27 +5,27 @@
 
 use crate::error;
 
-/// Longest deadline that is understood, milliseconds.
+/// Maximum deadline, in milliseconds (one day).
 pub const MAX_DEADLINE_MS: u64 = 86_400_000;
 
 /// Body of `POST /v1/jobs`.
 #[derive(Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job<'a> {
-    /// Its id, `<zone>-<uuid v7>`.
+    /// Id of the job, `<zone>-<uuid v7>`.
     pub job: String,
-    /// Path of its service.
+    /// Path of the service.
     pub service: String,
-    /// Team whose quota it counts against.
+    /// Team whose quota the job counts against.
     #[serde(default)]
     pub team: Option<String>,
-    /// Time for the whole answer, milliseconds; the service's default without it.
+    /// Deadline for the whole response, in milliseconds. It defaults to that of the service.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Whether tasks are safe to run again.
+    /// Whether it is safe to run a task more than once.
     #[serde(default)]
     pub idempotent: bool,
-    /// What one task needs.
+    /// Resource needs of one task.
     #[serde(default)]
     pub needs: Option<upstream::Needs>,
     /// The tasks.
@@ -37,17 +37,17 @@
 #[derive(Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Task<'a> {
-    /// Any JSON, passed to the upstream as it is.
+    /// Any JSON value. It is passed to the upstream unchanged.
     #[serde(borrow)]
     pub payload: &'a RawValue,
 }
 
 impl<'a> Job<'a> {
-    /// Reads and checks a submission.
+    /// Parses and validates a submission.
     ///
     /// # Errors
     ///
-    /// The text is not JSON, a key is unknown or missing, or a value is malformed.
+    /// Fails if the text is not valid JSON, a key is unknown or missing, or a value is malformed.
     ///
     /// ```
     /// let error = proto::json::Job::parse(b"{\"job\": 1}").unwrap_err();
@@ -62,16 +62,19 @@
             check_deadline(ms)?;
         }
         if job.needs.is_some_and(|needs| !(needs.cores.is_finite() && needs.cores >= 0.0)) {
-            return Err(error::Error::new(STEP, "needs.cores is not a number from 0"));
+            return Err(error::Error::new(
+                STEP,
+                "needs.cores must be a finite number of at least 0",
+            ));
         }
         Ok(job)
     }
 
-    /// The id.
+    /// Returns the id of the job.
     ///
     /// # Errors
     ///
-    /// It is not of the form `<zone>-<uuid v7>`.
+    /// Fails if the id does not have the form `<zone>-<uuid v7>`.
     ///
     /// ```
     /// # let text = br#"{"job": "7", "service": "a", "tasks": []}"#;
@@ -82,27 +85,27 @@
     }
 }
 
-/// Checks the path of a service.
+/// Validates the path of a service.
 ///
 /// # Errors
 ///
-/// It is empty or malformed.
+/// Fails if the path is empty or malformed.
 ///
 /// ```
 /// assert!(proto::json::check_service("ireland/polish-board").is_ok());
 /// assert!(proto::json::check_service("").is_err());
 /// ```
 pub fn check_service(path: &str) -> Result<(), error::Error> {
-    let fault =
+    let problem =
         if path.is_empty() { Some("the path is empty") } else { state::tree::path_fault(path) };
-    fault.map_or(Ok(()), |why| Err(error::Error::new("read service", why)))
+    problem.map_or(Ok(()), |reason| Err(error::Error::new("read service", reason)))
 }
 
-/// Checks the name of a team.
+/// Validates the name of a team. `None` is valid.
 ///
 /// # Errors
 ///
-/// It is not a name.
+/// Fails if the team is not a valid name.
 ///
 /// ```
 /// assert!(proto::json::check_team(Some("north")).is_ok());
@@ -117,11 +120,11 @@
     }
 }
 
-/// Checks a deadline in milliseconds.
+/// Validates a deadline in milliseconds.
 ///
 /// # Errors
 ///
-/// It is zero or longer than a day.
+/// Fails if the deadline is zero or longer than a day.
 ///
 /// ```
 /// assert!(proto::json::check_deadline(500).is_ok());
@@ -131,42 +134,42 @@
     if (1..=MAX_DEADLINE_MS).contains(&ms) {
         return Ok(());
     }
-    let why = format!("expected 1 to {MAX_DEADLINE_MS} milliseconds");
-    Err(error::Error::new("read deadline", why))
+    let reason = format!("expected 1 to {MAX_DEADLINE_MS} milliseconds");
+    Err(error::Error::new("read deadline", reason))
 }
 
-/// Answer to a job that is complete.
+/// Response for a completed job.
 #[derive(Debug, serde::Serialize)]
 pub struct Complete<'a> {
-    /// `complete`.
+    /// Always `complete`.
     pub state: &'static str,
     /// The job.
     pub job: String,
-    /// One answer per task, in task order.
+    /// Results of the tasks, in task order.
     pub answers: Vec<&'a RawValue>,
 }
 
-/// Answer about a job that has not ended.
+/// Response for a job that has not ended.
 #[derive(Debug, serde::Serialize)]
 pub struct Running {
-    /// `running`.
+    /// Always `running`.
     pub state: &'static str,
     /// The job.
     pub job: String,
 }
 
-/// Every error.
+/// Body of every error response.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Error {
-    /// `failed`, `not_run` or `unknown`.
+    /// State of the job: `failed`, `not_run` or `unknown`.
     pub state: String,
-    /// What went wrong.
+    /// Description of the error.
     pub error: String,
-    /// Step at which it did.
+    /// Operation that failed.
     pub step: String,
-    /// Instance or upstream at which it did.
+    /// Instance or upstream at which the operation failed.
     pub peer: String,
-    /// When to come back, milliseconds.
+    /// Time after which the client may retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -177,48 +180,48 @@
 pub struct Announce {
     /// Name of the upstream.
     pub upstream: String,
-    /// Path of its service.
+    /// Path of the service.
     pub service: String,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub availability_zone: String,
-    /// Where it takes tasks, `IP:PORT`.
+    /// Address of the task port, `IP:PORT`.
     pub address: String,
-    /// Tasks it runs at a time.
+    /// Number of tasks that the upstream runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Lifecycle phase of the upstream.
     #[serde(default)]
     pub state: Phase,
-    /// Cores of one slot.
+    /// CPU cores per slot.
     #[serde(default)]
     pub cores: Option<f64>,
-    /// Memory of one slot, megabytes.
+    /// Memory per slot, in megabytes.
     #[serde(default)]
     pub memory_mb: Option<u64>,
-    /// Accelerators of one slot.
+    /// Accelerators per slot.
     #[serde(default)]
     pub accelerators: Option<u64>,
 }
 
-/// Whether an upstream takes new work.
+/// Lifecycle phase of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Takes work.
+    /// The upstream accepts tasks.
     #[default]
     Serving,
-    /// Takes nothing new.
+    /// The upstream accepts no new tasks.
     Leaving,
 }
 
-/// Most slots of one upstream.
+/// Maximum number of slots of an upstream.
 pub const MAX_SLOTS: u32 = 4_096;
 
 impl Announce {
-    /// Reads and checks an announcement.
+    /// Parses and validates an announcement.
     ///
     /// # Errors
     ///
-    /// The text is not JSON, a key is unknown or missing, or a value is malformed.
+    /// Fails if the text is not valid JSON, a key is unknown or missing, or a value is malformed.
     ///
     /// ```
     /// let text = br#"{"upstream": "u1", "service": "a", "availability_zone": "west",
@@ -227,25 +230,27 @@
     /// ```
     pub fn parse(text: &[u8]) -> Result<Self, error::Error> {
         const STEP: &str = "read announcement";
-        let fault = |why: &str| error::Error::new(STEP, why);
+        let invalid = |reason: &str| error::Error::new(STEP, reason);
         let body: Self = serde_json::from_slice(text).map_err(|e| error::Error::new(STEP, e))?;
         check_service(&body.service)?;
         if !name::Name::is_valid(&body.upstream) || !name::Name::is_valid(&body.availability_zone) {
-            return Err(fault("upstream and availability_zone must be names"));
+            return Err(invalid("upstream and availability_zone must be valid names"));
         }
         if body.address.parse::<std::net::SocketAddr>().is_err() {
-            return Err(fault("address must be IP:PORT"));
+            return Err(invalid("address must be IP:PORT"));
         }
         if body.slots == 0 || body.slots > MAX_SLOTS {
-            return Err(fault("slots must be from 1 to 4096"));
+            return Err(invalid("slots must be from 1 to 4096"));
         }
         if body.cores.is_some_and(|cores| !(cores.is_finite() && cores >= 0.0)) {
-            return Err(fault("cores must be a number from 0"));
+            return Err(invalid("cores must be a finite number of at least 0"));
         }
         Ok(body)
     }
 
-    /// The table's form of it.
+    /// Converts the announcement to an entry of the table of upstreams. If it declares any
+    /// resource, undeclared cores and memory are unlimited, and there are no undeclared
+    /// accelerators.
     pub fn upstream(&self) -> upstream::Upstream {
         let declared =
             self.cores.is_some() || self.memory_mb.is_some() || self.accelerators.is_some();
@@ -270,10 +275,10 @@
     }
 }
 
-/// Answer to an announcement.
+/// Response to an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Lease {
-    /// Time until which the upstream must announce itself again, milliseconds.
+    /// Time within which the upstream must announce itself again, in milliseconds.
     pub lease_ms: u64,
 }
 
@@ -281,22 +286,22 @@
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Version that the operator saw; without it the change is unconditional.
+    /// Tree version that the change is based on. Without it the change is unconditional.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<u64>,
-    /// Identity of the change, a UUID; a resend carries the same one.
+    /// Id of the change, a UUID; a resend has the same id.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change: Option<String>,
-    /// Overrides; `null` removes one.
+    /// Overrides; a `null` value removes the override.
     pub values: serde_json::Map<String, Value>,
 }
 
 impl Change {
-    /// Reads a change; its values are not checked yet.
+    /// Parses a change without validating its values.
     ///
     /// # Errors
     ///
-    /// The text is not JSON, or a key is unknown or missing.
+    /// Fails if the text is not valid JSON, or if a key is unknown or missing.
     ///
     /// ```
     /// let change = proto::json::Change::parse(br#"{"values": {"max_queue": 5}}"#).unwrap();
@@ -307,7 +312,7 @@
     }
 }
 
-/// Version of the tree after, or at, a change.
+/// Version of the settings tree after an accepted change, or at the time of a rejected one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Version {
     /// The version.
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,5 +1,5 @@
-//! What crosses the borders of an instance: messages between instances and JSON for clients,
-//! upstreams and operators.
+//! External interfaces of an instance: the protocol between instances, and the JSON types for
+//! clients, upstreams and operators.
 //!
 //! ```
 //! let text = r#"{"job": "west-0190b6c4-7e2a-7c3e-8a54-000000000001", "service": "polish-board",
--- a/crates/proto/tests/border.rs
+++ b/crates/proto/tests/border.rs
@@ -1,4 +1,4 @@
-//! Every parser at the border takes anything without a panic.
+//! The parsers of external input must not panic on any input.
 
 use proptest::prelude::*;
 use proto::json;
@@ -11,10 +11,11 @@
 const CHANGE: &str = r#"{"base": 4, "change": "0190b6c4-7e2a-7c3e-8a54-000000000001",
  "values": {"max_queue": 5, "cross_zone": null}}"#;
 
-fn edit(text: &str, at: usize, cut: usize, with: &[u8]) -> Vec<u8> {
+/// Replaces `cut` bytes of `text` at `at` with `insert`.
+fn splice(text: &str, at: usize, cut: usize, insert: &[u8]) -> Vec<u8> {
     let at = at % text.len();
     let end = (at + cut).min(text.len());
-    [&text.as_bytes()[..at], with, &text.as_bytes()[end..]].concat()
+    [&text.as_bytes()[..at], insert, &text.as_bytes()[end..]].concat()
 }
 
 #[test]
@@ -34,8 +35,8 @@
     })]
 
     #[test]
-    fn any_job(at in 0..400_usize, cut in 0..20_usize, with in prop::collection::vec(any::<u8>(), 0..8)) {
-        let text = edit(JOB, at, cut, &with);
+    fn any_job(at in 0..400_usize, cut in 0..20_usize, insert in prop::collection::vec(any::<u8>(), 0..8)) {
+        let text = splice(JOB, at, cut, &insert);
         if let Ok(job) = json::Job::parse(&text) {
             prop_assert!(json::check_service(&job.service).is_ok());
             prop_assert!(job.deadline_ms.is_none_or(|ms| ms > 0));
@@ -44,8 +45,8 @@
     }
 
     #[test]
-    fn any_announcement(at in 0..400_usize, cut in 0..20_usize, with in prop::collection::vec(any::<u8>(), 0..8)) {
-        let text = edit(ANNOUNCE, at, cut, &with);
+    fn any_announcement(at in 0..400_usize, cut in 0..20_usize, insert in prop::collection::vec(any::<u8>(), 0..8)) {
+        let text = splice(ANNOUNCE, at, cut, &insert);
         if let Ok(announce) = json::Announce::parse(&text) {
             prop_assert!((1..=json::MAX_SLOTS).contains(&announce.slots));
             drop(announce.upstream());
@@ -53,8 +54,8 @@
     }
 
     #[test]
-    fn any_change(at in 0..400_usize, cut in 0..20_usize, with in prop::collection::vec(any::<u8>(), 0..8)) {
-        if let Ok(change) = json::Change::parse(&edit(CHANGE, at, cut, &with)) {
+    fn any_change(at in 0..400_usize, cut in 0..20_usize, insert in prop::collection::vec(any::<u8>(), 0..8)) {
+        if let Ok(change) = json::Change::parse(&splice(CHANGE, at, cut, &insert)) {
             drop(state::tree::value_faults(&change.values));
         }
     }
--- a/crates/proto/tests/codegen.rs
+++ b/crates/proto/tests/codegen.rs
@@ -1,4 +1,4 @@
-//! The committed peer code is what the generator makes of the committed description.
+//! The committed `src/peer.rs` must match the code that is generated from `proto/peer.proto`.
 
 use std::{fs, path};
 
@@ -9,10 +9,10 @@
     let out = tempfile::tempdir().unwrap();
     let config = tonic_prost_build::configure().bytes(".").out_dir(out.path());
     config.compile_fds(files).unwrap();
-    let fresh = fs::read_to_string(out.path().join("apricotroute.peer.v1.rs")).unwrap();
+    let generated = fs::read_to_string(out.path().join("apricotroute.peer.v1.rs")).unwrap();
     let target = root.join("src/peer.rs");
     if std::env::var_os("UPDATE_GENERATED").is_some() {
-        fs::write(&target, &fresh).unwrap();
+        fs::write(&target, &generated).unwrap();
     }
-    assert_eq!(fs::read_to_string(target).unwrap(), fresh, "run with UPDATE_GENERATED=1");
+    assert_eq!(fs::read_to_string(target).unwrap(), generated, "run with UPDATE_GENERATED=1");
 }
--- a/crates/state/src/boot.rs
+++ b/crates/state/src/boot.rs
@@ -1,4 +1,5 @@
-//! The bootstrap file of one instance, checked: every fault with its path, line and reason.
+//! Parses and validates the bootstrap file of an instance. Each error has a JSON path, a line and a
+//! reason.
 
 use std::{collections, net, path};
 
@@ -8,55 +9,55 @@
     reader::{Members, Reader},
 };
 
-/// Longest time that a graceful shutdown waits by default, in milliseconds.
+/// Default maximum duration of a graceful shutdown, in milliseconds.
 pub const DRAIN_MS: u64 = 600_000;
 
-/// Settings that an instance starts with.
+/// Bootstrap settings of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Boot {
     /// Name of the instance.
     pub instance: name::Name,
-    /// Availability zone it is in.
+    /// Availability zone of the instance.
     pub zone: name::Name,
-    /// Where clients and upstreams reach it.
+    /// Address for clients and upstreams.
     pub client: net::SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operator: net::SocketAddr,
-    /// Where the other instances reach it.
+    /// Address for the other instances.
     pub peer: net::SocketAddr,
-    /// Folder of its durable state; an instance without one never votes on settings.
+    /// Folder of the durable state. An instance without a folder never votes on settings.
     pub folder: Option<path::PathBuf>,
     /// The other instances.
     pub peers: Vec<Peer>,
-    /// What is logged and how.
+    /// Log level and format.
     pub log: Log,
-    /// Where spans go.
+    /// Trace exporters.
     pub traces: Traces,
-    /// Longest time that a graceful shutdown waits, in milliseconds.
+    /// Maximum duration of a graceful shutdown, in milliseconds.
     pub drain_ms: u64,
-    /// Which decisions are replaced by their baselines, for trials.
+    /// Algorithms that a trial replaces by a baseline.
     pub trial: Trial,
 }
 
 /// Another instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the instance.
     pub instance: name::Name,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: name::Name,
-    /// Where it is reached.
+    /// Address for the other instances.
     pub peer: net::SocketAddr,
-    /// Whether it has a data folder.
+    /// Whether the instance has a data folder.
     pub disk: bool,
 }
 
-/// What is logged and how.
+/// Log level and format.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Log {
-    /// The least severe level that is written.
+    /// Least severe level that the instance logs.
     pub level: Level,
-    /// Form of a line.
+    /// Format of a log line.
     pub form: Form,
 }
 
@@ -71,48 +72,48 @@
     Debug,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Form {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
     /// Plain text.
     Text,
 }
 
-/// Where spans go.
+/// Trace exporters.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Traces {
-    /// A file of JSON lines.
+    /// File to which spans are written as JSON lines.
     pub file: Option<path::PathBuf>,
-    /// URL of an OTLP collector (gRPC).
+    /// URL of an OTLP collector to which spans are sent over gRPC.
     pub otlp: Option<String>,
 }
 
-/// How upstreams are chosen.
+/// Load-balancing algorithm for the choice of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Placement {
-    /// Least outstanding work over observed service times.
+    /// Picks the upstream with the least outstanding work, estimated from observed service times.
     #[default]
     LeastWork,
-    /// The better of two random upstreams.
+    /// Picks the better of two random upstreams.
     TwoChoices,
-    /// One after the other.
+    /// Picks the upstreams in turn.
     RoundRobin,
 }
 
-/// Decisions that a trial replaces by their baselines.
+/// Algorithms that a trial can replace by a baseline.
 #[expect(clippy::struct_excessive_bools, reason = "each one is a key of the file")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Trial {
-    /// How upstreams are chosen.
+    /// Load-balancing algorithm for the choice of an upstream.
     pub placement: Placement,
-    /// Whether slots are shared out among the instances of a zone.
+    /// Whether the instances of a zone divide the slots among themselves.
     pub shares: bool,
-    /// Whether idle slots are borrowed.
+    /// Whether instances borrow idle slots from each other.
     pub borrow: bool,
-    /// Whether queues are bounded and hopeless work refused.
+    /// Whether queues are bounded and work that cannot meet its deadline is rejected.
     pub limits: bool,
     /// Whether failing upstreams are ejected.
     pub eject: bool,
@@ -126,11 +127,11 @@
 }
 
 impl Boot {
-    /// Checks a bootstrap file.
+    /// Parses and validates a bootstrap file.
     ///
     /// # Errors
     ///
-    /// Every fault found, in the order of its lines.
+    /// Returns all errors of the file, ordered by line.
     ///
     /// ```
     /// let faults = state::Boot::parse("{\"instance\": 7}").unwrap_err();
@@ -156,13 +157,13 @@
         let client = self.address(root, &mut map, "client_address");
         let operator = self.address(root, &mut map, "operator_address");
         let peer = self.address(root, &mut map, "peer_address");
-        let folder = map.remove("data_folder").and_then(|at| self.text(&at));
+        let folder = map.remove("data_folder").and_then(|value| self.string(&value));
         let peers = self.peers(&mut map, instance.as_ref());
-        let log = map.remove("log").map_or_else(Log::default, |at| self.log(&at));
-        let traces = map.remove("traces").map_or_else(Traces::default, |at| self.traces(&at));
-        let drain = map.remove("drain_ms").and_then(|at| self.whole(&at));
-        let trial = map.remove("trial").map_or_else(Trial::default, |at| self.trial(&at));
-        self.leftover(map);
+        let log = map.remove("log").map_or_else(Log::default, |value| self.log(&value));
+        let traces = map.remove("traces").map_or_else(Traces::default, |value| self.traces(&value));
+        let drain = map.remove("drain_ms").and_then(|value| self.unsigned(&value));
+        let trial = map.remove("trial").map_or_else(Trial::default, |value| self.trial(&value));
+        self.reject_unknown(map);
         Some(Boot {
             instance: instance?,
             zone: zone?,
@@ -178,15 +179,15 @@
         })
     }
 
-    fn peers(&mut self, map: &mut Members<'_>, me: Option<&name::Name>) -> Vec<Peer> {
-        let Some(at) = map.remove("peers") else {
+    fn peers(&mut self, map: &mut Members<'_>, own: Option<&name::Name>) -> Vec<Peer> {
+        let Some(value) = map.remove("peers") else {
             return Vec::new();
         };
-        let Some(items) = at.items() else {
-            self.faults.push(at.fault("expected an array"));
+        let Some(items) = value.items() else {
+            self.faults.push(value.fault("expected an array"));
             return Vec::new();
         };
-        let mut seen: collections::BTreeSet<name::Name> = me.cloned().into_iter().collect();
+        let mut seen: collections::BTreeSet<name::Name> = own.cloned().into_iter().collect();
         let mut peers = Vec::new();
         for item in &items {
             let Some(peer) = self.peer(item) else {
@@ -201,17 +202,17 @@
         peers
     }
 
-    fn peer(&mut self, at: &Located<'_>) -> Option<Peer> {
-        let mut map = self.object(at)?;
-        let instance = self.name(at, &mut map, "instance");
-        let zone = self.name(at, &mut map, "availability_zone");
-        let peer = self.address(at, &mut map, "peer_address");
-        let disk = map.remove("disk").and_then(|at| self.flag(&at)).unwrap_or(false);
-        self.leftover(map);
+    fn peer(&mut self, value: &Located<'_>) -> Option<Peer> {
+        let mut map = self.object(value)?;
+        let instance = self.name(value, &mut map, "instance");
+        let zone = self.name(value, &mut map, "availability_zone");
+        let peer = self.address(value, &mut map, "peer_address");
+        let disk = map.remove("disk").and_then(|value| self.boolean(&value)).unwrap_or(false);
+        self.reject_unknown(map);
         Some(Peer { instance: instance?, zone: zone?, peer: peer?, disk })
     }
 
-    pub(crate) fn log(&mut self, at: &Located<'_>) -> Log {
+    pub(crate) fn log(&mut self, value: &Located<'_>) -> Log {
         const LEVELS: &[(&str, Level)] = &[
             ("error", Level::Error),
             ("warning", Level::Warning),
@@ -219,40 +220,41 @@
             ("debug", Level::Debug),
         ];
         const FORMS: &[(&str, Form)] = &[("json", Form::Json), ("text", Form::Text)];
-        let Some(mut map) = self.object(at) else {
+        let Some(mut map) = self.object(value) else {
             return Log::default();
         };
-        let level = map.remove("level").and_then(|at| self.choice(&at, LEVELS));
-        let form = map.remove("form").and_then(|at| self.choice(&at, FORMS));
-        self.leftover(map);
+        let level = map.remove("level").and_then(|value| self.one_of(&value, LEVELS));
+        let form = map.remove("form").and_then(|value| self.one_of(&value, FORMS));
+        self.reject_unknown(map);
         Log { level: level.unwrap_or_default(), form: form.unwrap_or_default() }
     }
 
-    fn traces(&mut self, at: &Located<'_>) -> Traces {
-        let Some(mut map) = self.object(at) else {
+    fn traces(&mut self, value: &Located<'_>) -> Traces {
+        let Some(mut map) = self.object(value) else {
             return Traces::default();
         };
-        let file = map.remove("file").and_then(|at| self.text(&at)).map(path::PathBuf::from);
-        let otlp = map.remove("otlp").and_then(|at| {
-            let url = self.text(&at)?;
-            let known = url.starts_with("http://") || url.starts_with("https://");
-            if known { Some(url) } else { self.reject(&at, "expected http://IP:PORT") }
+        let file =
+            map.remove("file").and_then(|value| self.string(&value)).map(path::PathBuf::from);
+        let otlp = map.remove("otlp").and_then(|value| {
+            let url = self.string(&value)?;
+            let supported = url.starts_with("http://") || url.starts_with("https://");
+            if supported { Some(url) } else { self.reject(&value, "expected http://IP:PORT") }
         });
-        self.leftover(map);
+        self.reject_unknown(map);
         Traces { file, otlp }
     }
 
-    fn trial(&mut self, at: &Located<'_>) -> Trial {
+    fn trial(&mut self, value: &Located<'_>) -> Trial {
         const PLACEMENTS: &[(&str, Placement)] = &[
             ("least_work", Placement::LeastWork),
             ("two_choices", Placement::TwoChoices),
             ("round_robin", Placement::RoundRobin),
         ];
-        let Some(mut map) = self.object(at) else {
+        let Some(mut map) = self.object(value) else {
             return Trial::default();
         };
-        let placement = map.remove("placement").and_then(|at| self.choice(&at, PLACEMENTS));
-        let mut flag = |key| map.remove(key).and_then(|at| self.flag(&at)).unwrap_or(true);
+        let placement = map.remove("placement").and_then(|value| self.one_of(&value, PLACEMENTS));
+        let mut flag = |key| map.remove(key).and_then(|value| self.boolean(&value)).unwrap_or(true);
         let trial = Trial {
             placement: placement.unwrap_or_default(),
             shares: flag("shares"),
@@ -260,7 +262,7 @@
             limits: flag("limits"),
             eject: flag("eject"),
         };
-        self.leftover(map);
+        self.reject_unknown(map);
         trial
     }
 }
--- a/crates/state/src/error.rs
+++ b/crates/state/src/error.rs
@@ -1,8 +1,8 @@
-//! The one error type of this crate.
+//! Error type of this crate.
 
 use std::{fmt, io, path};
 
-/// A failure of parsing, checking or storing state.
+/// An error from parsing, validating or storing state.
 #[derive(Debug)]
 pub struct Error {
     inner: Box<Inner>,
@@ -11,34 +11,34 @@
 #[derive(Debug)]
 struct Inner {
     step: &'static str,
-    why: String,
+    reason: String,
     class: Class,
-    place: Option<Place>,
+    location: Option<Location>,
     source: Option<io::Error>,
 }
 
 #[derive(Debug)]
-struct Place {
+struct Location {
     file: path::PathBuf,
     offset: u64,
 }
 
-/// What kind of failure an [`Error`] is.
+/// Category of an [`Error`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// The input is malformed or out of range.
     Input,
-    /// The operating system refused a read or write.
+    /// The operating system reported an error on a file operation.
     Io,
-    /// Stored data is damaged; the error names file and offset.
-    Damage,
+    /// Stored data is corrupt. The error has the file and the offset of the corruption.
+    Corrupt,
     /// The data folder belongs to another instance or another process.
     Owner,
 }
 
 impl Error {
-    pub(crate) fn input(step: &'static str, why: &str) -> Self {
-        Self::with(step, why.to_owned(), Class::Input)
+    pub(crate) fn input(step: &'static str, reason: &str) -> Self {
+        Self::with(step, reason.to_owned(), Class::Input)
     }
 
     pub(crate) fn io(step: &'static str, source: io::Error) -> Self {
@@ -47,41 +47,48 @@
         error
     }
 
-    pub(crate) fn owner(step: &'static str, why: String) -> Self {
-        Self::with(step, why, Class::Owner)
+    pub(crate) fn owner(step: &'static str, reason: String) -> Self {
+        Self::with(step, reason, Class::Owner)
     }
 
-    pub(crate) fn damage(step: &'static str, why: &str, file: &path::Path, offset: u64) -> Self {
-        let mut error = Self::with(step, why.to_owned(), Class::Damage);
-        error.inner.place = Some(Place { file: file.to_owned(), offset });
+    pub(crate) fn corrupt(
+        step: &'static str,
+        reason: &str,
+        file: &path::Path,
+        offset: u64,
+    ) -> Self {
+        let mut error = Self::with(step, reason.to_owned(), Class::Corrupt);
+        error.inner.location = Some(Location { file: file.to_owned(), offset });
         error
     }
 
-    fn with(step: &'static str, why: String, class: Class) -> Self {
-        Self { inner: Box::new(Inner { step, why, class, place: None, source: None }) }
+    fn with(step: &'static str, reason: String, class: Class) -> Self {
+        Self { inner: Box::new(Inner { step, reason, class, location: None, source: None }) }
     }
 
-    /// The kind of failure.
-    pub fn classify(&self) -> Class {
+    /// Returns the category of the error.
+    pub fn class(&self) -> Class {
         self.inner.class
     }
 
-    /// The step that failed.
+    /// Returns the operation that failed.
     pub fn step(&self) -> &'static str {
         self.inner.step
     }
 
-    /// The damaged file and the byte offset in it, for [`Class::Damage`].
-    pub fn place(&self) -> Option<(&path::Path, u64)> {
-        self.inner.place.as_ref().map(|place| (place.file.as_path(), place.offset))
+    /// Returns the corrupt file and the byte offset in it, for [`Class::Corrupt`].
+    pub fn location(&self) -> Option<(&path::Path, u64)> {
+        self.inner.location.as_ref().map(|location| (location.file.as_path(), location.offset))
     }
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.inner.step, self.inner.why)?;
-        match &self.inner.place {
-            Some(place) => write!(f, " ({} at offset {})", place.file.display(), place.offset),
+        write!(f, "{}: {}", self.inner.step, self.inner.reason)?;
+        match &self.inner.location {
+            Some(location) => {
+                write!(f, " ({} at offset {})", location.file.display(), location.offset)
+            }
             None => Ok(()),
         }
     }
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder.rs
@@ -1,13 +1,13 @@
-//! The data folder of one instance: identity, lock, snapshot and log.
+//! The data folder of one instance: identity, lock, snapshot and write-ahead log.
 //!
-//! Replacing the log is atomic: a new log file is written first, then the snapshot that names it
-//! is renamed into place. A crash between the two leaves the old pair in force.
+//! Compaction is atomic: it writes a new log file first, then renames the snapshot that refers to
+//! that log into place. After a crash between the two steps, the old snapshot and log are used.
 
 use std::{fs, io::Write as _, path};
 
 use crate::{error, name, wal};
 
-/// Version of the files' layout.
+/// Version of the on-disk format.
 pub const VERSION: u32 = 1;
 
 const IDENTITY: &str = "identity.json";
@@ -23,12 +23,12 @@
 }
 
 #[derive(serde::Serialize, serde::Deserialize)]
-struct Stored {
+struct Snapshot {
     generation: u64,
     state: Vec<u8>,
 }
 
-/// An open data folder; no other process can open it meanwhile.
+/// An open data folder. Its lock file keeps other processes from opening it.
 #[derive(Debug)]
 pub struct Folder {
     path: path::PathBuf,
@@ -37,30 +37,31 @@
     _lock: fs::File,
 }
 
-/// What a folder held when it was opened.
+/// Contents of a data folder when it was opened.
 #[derive(Debug, Default)]
 pub struct Loaded {
-    /// Incarnation of this disk.
+    /// Incarnation number stored in the folder.
     pub life: u64,
     /// The last snapshot, if one was written.
     pub snapshot: Option<Vec<u8>>,
-    /// Records since then.
+    /// Log records written after the snapshot.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of an unfinished write that were cut.
+    /// Number of bytes of an incomplete write that were truncated from the log.
     pub torn: u64,
-    /// The last hints, if there are some.
+    /// The last hints, if the folder has valid ones.
     pub hints: Option<Vec<u8>>,
-    /// Why there are none although some were written.
+    /// Error on reading the hints file, if it exists but cannot be read.
     pub fault: Option<error::Error>,
 }
 
 impl Folder {
-    /// Opens the folder of `instance`, creating it with incarnation `life` if it is empty.
+    /// Opens the data folder of `instance`. A folder without an identity is initialized with
+    /// incarnation `life`.
     ///
     /// # Errors
     ///
-    /// The folder belongs to another instance, another process holds it, a file is damaged, or
-    /// the operating system refuses.
+    /// Fails if the folder belongs to another instance or has another format version, another
+    /// process has locked it, a file is corrupt, or the operating system reports an error.
     ///
     /// ```
     /// let dir = tempfile::tempdir().unwrap();
@@ -75,19 +76,19 @@
         life: u64,
     ) -> Result<(Self, Loaded), error::Error> {
         fs::create_dir_all(path).map_err(|e| error::Error::io("create data folder", e))?;
-        let lock = take_lock(path)?;
-        let identity = identify(path, instance, life)?;
-        let stored = read_snapshot(&path.join(SNAPSHOT))?;
-        let generation = stored.as_ref().map_or(0, |stored| stored.generation);
+        let lock = acquire_lock(path)?;
+        let identity = load_identity(path, instance, life)?;
+        let snapshot = read_snapshot(&path.join(SNAPSHOT))?;
+        let generation = snapshot.as_ref().map_or(0, |snapshot| snapshot.generation);
         let (wal, replay) = wal::Wal::open(&log_path(path, generation))?;
         sync_folder(path)?;
-        let (hints, fault) = match read_sealed(&path.join(HINTS)) {
+        let (hints, fault) = match read_checksummed(&path.join(HINTS)) {
             Ok(hints) => (hints, None),
-            Err(fault) => (None, Some(fault)),
+            Err(e) => (None, Some(e)),
         };
         let loaded = Loaded {
             life: identity.life,
-            snapshot: stored.map(|stored| stored.state),
+            snapshot: snapshot.map(|snapshot| snapshot.state),
             records: replay.records,
             torn: replay.torn,
             hints,
@@ -96,26 +97,28 @@
         Ok((Self { path: path.to_owned(), wal, generation, _lock: lock }, loaded))
     }
 
-    /// Replaces the hints: what helps after a start and may be lost or old.
+    /// Replaces the hints. Hints are optional data that helps after a start; they may be lost or
+    /// outdated.
     ///
     /// # Errors
     ///
-    /// The operating system refuses a write; the former hints are still there then.
+    /// Fails if the operating system reports an error on a write. The previous hints are then still
+    /// in place.
     ///
     /// ```
     /// # let dir = tempfile::tempdir().unwrap();
     /// # let (folder, _) = state::folder::Folder::open(dir.path(), &"west-1".into(), 7).unwrap();
-    /// folder.set_hints(b"who was there").unwrap();
+    /// folder.set_hints(b"known peers").unwrap();
     /// ```
     pub fn set_hints(&self, hints: &[u8]) -> Result<(), error::Error> {
-        replace(&self.path, HINTS, &sealed(hints))
+        write_atomic(&self.path, HINTS, &add_checksum(hints))
     }
 
-    /// Appends records to the log and syncs them.
+    /// Appends records to the log and syncs the log file.
     ///
     /// # Errors
     ///
-    /// As [`wal::Wal::append`].
+    /// Fails as [`wal::Wal::append`] does.
     ///
     /// ```
     /// # let dir = tempfile::tempdir().unwrap();
@@ -129,11 +132,12 @@
         self.wal.append(records)
     }
 
-    /// Replaces snapshot and log by `state` and `records`.
+    /// Replaces the snapshot with `state` and the log with `records`.
     ///
     /// # Errors
     ///
-    /// The operating system refuses a write; the former pair is then still in force.
+    /// Fails if the operating system reports an error on a write. The previous snapshot and log are
+    /// then still in use.
     ///
     /// ```
     /// # let dir = tempfile::tempdir().unwrap();
@@ -152,11 +156,11 @@
         }
         let (mut wal, _) = wal::Wal::open(&next)?;
         wal.append(records)?;
-        let stored = Stored { generation, state: state.to_vec() };
-        write_snapshot(&self.path, &stored)?;
-        let former = std::mem::replace(&mut self.wal, wal);
+        let snapshot = Snapshot { generation, state: state.to_vec() };
+        write_snapshot(&self.path, &snapshot)?;
+        let previous = std::mem::replace(&mut self.wal, wal);
         self.generation = generation;
-        fs::remove_file(former.path()).map_err(|e| error::Error::io("remove former log", e))
+        fs::remove_file(previous.path()).map_err(|e| error::Error::io("remove previous log", e))
     }
 }
 
@@ -164,20 +168,20 @@
     folder.join(format!("log-{generation}"))
 }
 
-fn take_lock(folder: &path::Path) -> Result<fs::File, error::Error> {
+fn acquire_lock(folder: &path::Path) -> Result<fs::File, error::Error> {
     let io = |e| error::Error::io("lock data folder", e);
     let file = fs::File::create(folder.join(LOCK)).map_err(io)?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(fs::TryLockError::WouldBlock) => {
-            let why = format!("another process uses {}", folder.display());
-            Err(error::Error::owner("lock data folder", why))
+            let reason = format!("another process uses {}", folder.display());
+            Err(error::Error::owner("lock data folder", reason))
         }
         Err(fs::TryLockError::Error(e)) => Err(io(e)),
     }
 }
 
-fn identify(
+fn load_identity(
     folder: &path::Path,
     instance: &name::Name,
     life: u64,
@@ -187,71 +191,73 @@
     let fresh = Identity { version: VERSION, instance: instance.clone(), life };
     if !path.exists() {
         let text = serde_json::to_vec(&fresh).unwrap_or_default();
-        replace(folder, IDENTITY, &text)?;
+        write_atomic(folder, IDENTITY, &text)?;
         return Ok(fresh);
     }
     let text = fs::read(&path).map_err(|e| error::Error::io(STEP, e))?;
     let found: Identity = serde_json::from_slice(&text)
-        .map_err(|e| error::Error::damage(STEP, &e.to_string(), &path, e.column() as u64))?;
+        .map_err(|e| error::Error::corrupt(STEP, &e.to_string(), &path, e.column() as u64))?;
     if found.instance != *instance {
-        let why = format!("{} belongs to instance {}", folder.display(), found.instance);
-        return Err(error::Error::owner(STEP, why));
+        let reason = format!("{} belongs to instance {}", folder.display(), found.instance);
+        return Err(error::Error::owner(STEP, reason));
     }
     if found.version != VERSION {
-        let why = format!("{} has layout version {}", folder.display(), found.version);
-        return Err(error::Error::owner(STEP, why));
+        let reason = format!("{} has layout version {}", folder.display(), found.version);
+        return Err(error::Error::owner(STEP, reason));
     }
     Ok(found)
 }
 
-fn read_snapshot(path: &path::Path) -> Result<Option<Stored>, error::Error> {
-    let Some(payload) = read_sealed(path)? else { return Ok(None) };
-    let stored = postcard::from_bytes(&payload)
-        .map_err(|e| error::Error::damage("read snapshot", &e.to_string(), path, 0))?;
-    Ok(Some(stored))
+fn read_snapshot(path: &path::Path) -> Result<Option<Snapshot>, error::Error> {
+    let Some(payload) = read_checksummed(path)? else { return Ok(None) };
+    let snapshot = postcard::from_bytes(&payload)
+        .map_err(|e| error::Error::corrupt("read snapshot", &e.to_string(), path, 0))?;
+    Ok(Some(snapshot))
 }
 
-/// Reads a file that begins with the checksum of the rest.
-fn read_sealed(path: &path::Path) -> Result<Option<Vec<u8>>, error::Error> {
+/// Reads a file that starts with the checksum of its payload and returns the payload.
+fn read_checksummed(path: &path::Path) -> Result<Option<Vec<u8>>, error::Error> {
     const STEP: &str = "read snapshot or hints";
     if !path.exists() {
         return Ok(None);
     }
     let mut bytes = fs::read(path).map_err(|e| error::Error::io(STEP, e))?;
-    let damage = |why: &str| error::Error::damage(STEP, why, path, 0);
-    let (sum, payload) = bytes.split_at_checked(4).ok_or_else(|| damage("too short"))?;
+    let corrupt = |reason: &str| error::Error::corrupt(STEP, reason, path, 0);
+    let (sum, payload) = bytes
+        .split_at_checked(4)
+        .ok_or_else(|| corrupt("the file is shorter than its checksum"))?;
     if crc32fast::hash(payload).to_le_bytes() != sum {
-        return Err(damage("bad checksum"));
+        return Err(corrupt("bad checksum"));
     }
     bytes.drain(..4);
     Ok(Some(bytes))
 }
 
-/// The content of a file that begins with the checksum of the rest.
-fn sealed(payload: &[u8]) -> Vec<u8> {
+/// Returns the payload with its checksum in front.
+fn add_checksum(payload: &[u8]) -> Vec<u8> {
     let mut bytes = crc32fast::hash(payload).to_le_bytes().to_vec();
     bytes.extend_from_slice(payload);
     bytes
 }
 
-fn write_snapshot(folder: &path::Path, stored: &Stored) -> Result<(), error::Error> {
-    let payload = postcard::to_stdvec(stored)
+fn write_snapshot(folder: &path::Path, snapshot: &Snapshot) -> Result<(), error::Error> {
+    let payload = postcard::to_stdvec(snapshot)
         .map_err(|e| error::Error::input("encode snapshot", &e.to_string()))?;
-    replace(folder, SNAPSHOT, &sealed(&payload))
+    write_atomic(folder, SNAPSHOT, &add_checksum(&payload))
 }
 
-/// Writes a file so that after a crash either the former or the new content is there.
-fn replace(folder: &path::Path, name: &str, bytes: &[u8]) -> Result<(), error::Error> {
+/// Replaces a file atomically: after a crash it has either the old or the new content.
+fn write_atomic(folder: &path::Path, name: &str, bytes: &[u8]) -> Result<(), error::Error> {
     let io = |e| error::Error::io("replace file", e);
-    let draft = folder.join(format!("{name}.draft"));
-    let mut file = fs::File::create(&draft).map_err(io)?;
+    let temp = folder.join(format!("{name}.draft"));
+    let mut file = fs::File::create(&temp).map_err(io)?;
     file.write_all(bytes).map_err(io)?;
     file.sync_all().map_err(io)?;
-    fs::rename(&draft, folder.join(name)).map_err(io)?;
+    fs::rename(&temp, folder.join(name)).map_err(io)?;
     sync_folder(folder)
 }
 
 fn sync_folder(folder: &path::Path) -> Result<(), error::Error> {
-    let open = fs::File::open(folder).and_then(|file| file.sync_all());
-    open.map_err(|e| error::Error::io("sync data folder", e))
+    let synced = fs::File::open(folder).and_then(|file| file.sync_all());
+    synced.map_err(|e| error::Error::io("sync data folder", e))
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,9 @@
-//! State that an instance keeps: names and ids, the settings tree, the journal table, the table
-//! of upstreams, and the durable log that the settings tree is stored in.
+//! State of an instance: names and ids, bootstrap files, the settings tree, the journal's job
+//! table, the table of upstreams, and the write-ahead log that stores the settings tree.
 //!
-//! Nothing here opens a socket, reads a clock or starts a thread. The only I/O is in [`folder`]
-//! and [`wal`], which own the files of one data folder.
+//! Except for [`JobId::mint`], which reads the wall clock, this crate opens no socket, reads no
+//! clock and starts no thread. Only [`folder`] and [`wal`] do I/O; they own the files of one data
+//! folder.
 //!
 //! ```
 //! use state::{JobId, Tree};
@@ -12,7 +13,7 @@
 //!
 //! let tree = Tree::new();
 //! assert_eq!(tree.version(), 0);
-//! assert!(tree.effective("polish-board").is_none(), "a path exists once it was set");
+//! assert!(tree.effective("polish-board").is_none(), "a path exists once it has been set");
 //! ```
 
 pub mod boot;
--- a/crates/state/src/locate.rs
+++ b/crates/state/src/locate.rs
@@ -1,17 +1,17 @@
-//! JSON values that know the line they stand on, for faults that an operator can find.
+//! JSON values with their path and line, so that an operator can find the cause of an error.
 
 use std::{collections, fmt};
 
 use serde_json::{Value, value::RawValue};
 
-/// One fault of a file: where it is and what is wrong.
+/// One error in a file, with its location and reason.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// Line in the file, from 1.
+    /// Line in the file, counted from 1.
     pub line: usize,
     /// JSON path, such as `$.peers[0].disk`.
     pub path: String,
-    /// The reason.
+    /// Reason of the error.
     pub why: String,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A JSON value inside a text, with its path.
+/// A JSON value inside a document, with its path.
 #[derive(Clone, Debug)]
 pub struct Located<'a> {
     text: &'a str,
@@ -30,11 +30,11 @@
 }
 
 impl<'a> Located<'a> {
-    /// Parses a whole text.
+    /// Parses a JSON document.
     ///
     /// # Errors
     ///
-    /// The text is not JSON; the fault names the line.
+    /// Fails if the text is not valid JSON. The error has the line.
     ///
     /// ```
     /// let fault = state::locate::Located::parse("{\n\"a\": }").unwrap_err();
@@ -47,17 +47,17 @@
         }
     }
 
-    /// A fault at this value.
+    /// Creates an error located at this value.
     pub fn fault(&self, why: impl Into<String>) -> Fault {
         Fault { line: self.line(), path: self.path.clone(), why: why.into() }
     }
 
-    /// The value itself.
+    /// Returns the value.
     pub fn value(&self) -> Value {
         serde_json::from_str(self.raw.get()).unwrap_or_default()
     }
 
-    /// Members of the object, or nothing if it is none.
+    /// Returns the members of the object, or `None` if the value is not an object.
     pub fn members(&self) -> Option<collections::BTreeMap<String, Self>> {
         let map: collections::BTreeMap<String, &'a RawValue> =
             serde_json::from_str(self.raw.get()).ok()?;
@@ -68,11 +68,11 @@
         Some(map.into_iter().map(child).collect())
     }
 
-    /// Items of the array, or nothing if it is none.
+    /// Returns the items of the array, or `None` if the value is not an array.
     pub fn items(&self) -> Option<Vec<Self>> {
         let list: Vec<&'a RawValue> = serde_json::from_str(self.raw.get()).ok()?;
-        let child = |(at, raw): (usize, &'a RawValue)| {
-            let path = format!("{}[{at}]", self.path);
+        let child = |(index, raw): (usize, &'a RawValue)| {
+            let path = format!("{}[{index}]", self.path);
             Self { text: self.text, raw, path }
         };
         Some(list.into_iter().enumerate().map(child).collect())
--- a/crates/state/src/name.rs
+++ b/crates/state/src/name.rs
@@ -1,8 +1,8 @@
-//! Shared immutable names, and the identity of one life of an instance.
+//! Shared immutable names, and the identity of one incarnation of an instance.
 
 use std::{borrow, fmt, sync};
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a valid name, in bytes.
 pub const MAX_NAME: usize = 64;
 
 /// An immutable name that is cheap to clone.
@@ -11,21 +11,21 @@
 pub struct Name(sync::Arc<str>);
 
 impl Name {
-    /// Wraps `text` as it is.
+    /// Creates a name from `text` without validating it.
     pub fn new(text: &str) -> Self {
         Self(sync::Arc::from(text))
     }
 
-    /// The text of the name.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// Whether `text` is a well-formed name: 1 to [`MAX_NAME`] bytes of ASCII letters, digits,
+    /// Returns whether `text` is a valid name: 1 to [`MAX_NAME`] bytes of ASCII letters, digits,
     /// `-`, `_` and `.`.
     pub fn is_valid(text: &str) -> bool {
-        let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        !text.is_empty() && text.len() <= MAX_NAME && text.bytes().all(plain)
+        let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+        !text.is_empty() && text.len() <= MAX_NAME && text.bytes().all(allowed)
     }
 }
 
@@ -53,20 +53,21 @@
     }
 }
 
-/// One life of an instance: its name and its incarnation.
+/// One incarnation of an instance: the name of the instance and an incarnation number.
 ///
-/// An instance that lost its memory (or, for the settings group, its disk) comes back under the
-/// same name with another incarnation, so that it can never be taken for its former self.
+/// An instance that lost its memory (or, in the settings group, its disk) restarts under the same
+/// name with another incarnation number, so that it cannot be mistaken for the previous
+/// incarnation.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Member {
     /// Name of the instance.
     pub name: Name,
-    /// Incarnation; 0 stands for "no life of it is known yet".
+    /// Incarnation number; 0 means that no incarnation of the instance is known yet.
     pub life: u64,
 }
 
 impl Member {
-    /// A member with the given incarnation.
+    /// Creates a member with the given incarnation number.
     pub fn new(name: &Name, life: u64) -> Self {
         Self { name: name.clone(), life }
     }
--- a/crates/state/src/node.rs
+++ b/crates/state/src/node.rs
@@ -1,4 +1,5 @@
-//! The bootstrap file of an instance that finds the others through seeds.
+//! Parses the bootstrap file of an instance that discovers the other instances through seed
+//! addresses.
 
 use std::{net, path};
 
@@ -9,72 +10,74 @@
     reader::{Members, Reader},
 };
 
-/// Shares of the time between the order to end and the forced end, milliseconds: what is in
-/// progress gets most of it, and the last part is left to flush and exit.
+/// Default time from SIGTERM to the forced end, in milliseconds. Work in progress gets most of this
+/// time; the last part is reserved for flushing and exiting.
 const DEFAULT_GRACE_MS: u64 = 6_000;
-/// Thousandths of a core in one; what an instance has unless its settings say otherwise.
-const CORE: u64 = 1_000;
-/// Longest lease that upstreams grant by default, milliseconds.
+/// Millicores of one core. An instance has one core unless its settings say otherwise.
+const MILLICORES: u64 = 1_000;
+/// Default for the longest lease that upstreams grant, in milliseconds.
 const DEFAULT_LEASE_MS: u64 = 1_000;
 
-/// What an instance does.
+/// Role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes clients' jobs.
+    /// Accepts jobs from clients.
     Entry,
-    /// Holds the configuration and hears of upstreams.
+    /// Stores the configuration and receives the announcements of upstreams.
     Keeper,
 }
 
-/// Settings that such an instance starts with.
+/// Bootstrap settings of an instance that discovers the others through seeds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     /// Name of the instance, for logs.
     pub instance: name::Name,
-    /// Availability zone it is in.
+    /// Availability zone of the instance.
     pub zone: name::Name,
-    /// What it does.
+    /// Role of the instance.
     pub role: Role,
-    /// Where clients reach an entry.
+    /// Address of an entry for clients.
     pub client: Option<net::SocketAddr>,
-    /// Where the balancer asks an entry whether it takes clients.
+    /// Address at which the load balancer checks whether an entry accepts clients.
     pub ready: Option<net::SocketAddr>,
-    /// Where operators and upstreams reach a keeper.
+    /// Address of a keeper for operators and upstreams.
     pub operator: Option<net::SocketAddr>,
-    /// Where the other instances reach it.
+    /// Address that the instance advertises to the other instances.
     pub peer: net::SocketAddr,
-    /// Where it listens for them, if that is another address than the one that it tells them.
+    /// Address at which the instance listens for the other instances, if it differs from the
+    /// advertised address.
     pub peer_listen: Option<net::SocketAddr>,
-    /// Where its metrics are read.
+    /// Address of the metrics endpoint.
     pub metrics: Option<net::SocketAddr>,
     /// Folder of a keeper's durable state.
     pub folder: Option<path::PathBuf>,
     /// Operator addresses of some keepers.
     pub seeds: Vec<net::SocketAddr>,
-    /// All availability zones, as far as they are known from the start.
+    /// Availability zones that are known at startup.
     pub zones: Vec<name::Name>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first: bool,
-    /// Longest lease that upstreams grant, milliseconds.
+    /// Longest lease that upstreams grant, in milliseconds.
     pub lease_ms: u64,
-    /// Time from SIGTERM to the forced end, milliseconds.
+    /// Time from SIGTERM to the forced end, in milliseconds.
     pub grace_ms: u64,
-    /// Processor time that the instance has, thousandths of a core.
+    /// CPU allowance of the instance, in millicores.
     pub cores: u64,
-    /// Which ways of deciding are in use.
+    /// Enabled scheduling features.
     pub policy: policy::Policy,
-    /// What is logged and how.
+    /// Log level and format.
     pub log: boot::Log,
-    /// Added to the time of day, milliseconds: shows in trials what a wrong clock does.
+    /// Offset that is added to the wall clock, in milliseconds. Trials use it to show the effect of
+    /// a wrong clock.
     pub clock_offset: i64,
 }
 
 impl Node {
-    /// Checks a bootstrap file.
+    /// Parses and validates a bootstrap file.
     ///
     /// # Errors
     ///
-    /// Every fault found, in the order of its lines.
+    /// Returns all errors of the file, ordered by line.
     ///
     /// ```
     /// let faults = state::node::Node::parse("{\"role\": \"king\"}").unwrap_err();
@@ -91,14 +94,15 @@
         }
     }
 
-    /// Whether a file is meant for such an instance: it names a role.
+    /// Returns whether a file is of this kind, which is the case if it has the key `role`.
     pub fn is_meant(text: &str) -> bool {
         let root = Located::parse(text).ok();
         let members = root.as_ref().and_then(Located::members);
         members.is_some_and(|members| members.contains_key("role"))
     }
 
-    /// Addresses of the streams of the seeds: every instance uses the same port for them.
+    /// Returns the peer addresses of the seeds. All instances use the same port for peer streams,
+    /// so a peer address is the IP address of the seed with this instance's peer port.
     pub fn seed_peers(&self) -> Vec<name::Name> {
         let peer = |seed: &net::SocketAddr| net::SocketAddr::new(seed.ip(), self.peer.port());
         self.seeds.iter().map(|seed| name::Name::new(&peer(seed).to_string())).collect()
@@ -112,26 +116,27 @@
         let instance = self.name(root, &mut map, "instance");
         let zone = self.name(root, &mut map, "availability_zone");
         let role = self.required(root, &mut map, "role");
-        let role = role.and_then(|at| self.choice(&at, ROLES));
+        let role = role.and_then(|value| self.one_of(&value, ROLES));
         let entry = role == Some(Role::Entry);
-        let client = self.address_of(root, &mut map, "client_address", entry);
-        let ready = self.address_of(root, &mut map, "ready_address", entry);
-        let operator = self.address_of(root, &mut map, "operator_address", !entry);
+        let client = self.address_if(root, &mut map, "client_address", entry);
+        let ready = self.address_if(root, &mut map, "ready_address", entry);
+        let operator = self.address_if(root, &mut map, "operator_address", !entry);
         let peer = self.address(root, &mut map, "peer_address");
-        let peer_listen = self.address_of(root, &mut map, "peer_listen", false);
-        let metrics = self.address_of(root, &mut map, "metrics_address", false);
-        let folder = map.remove("data_folder").and_then(|at| self.text(&at));
+        let peer_listen = self.address_if(root, &mut map, "peer_listen", false);
+        let metrics = self.address_if(root, &mut map, "metrics_address", false);
+        let folder = map.remove("data_folder").and_then(|value| self.string(&value));
         let seeds = self.seeds(&mut map);
         let zones = self.zones(&mut map);
-        let first = map.remove("first_start").and_then(|at| self.flag(&at));
-        let lease = map.remove("lease_ms").and_then(|at| self.whole(&at));
-        let grace = map.remove("grace_ms").and_then(|at| self.whole(&at));
-        let offset = map.remove("clock_offset_ms").and_then(|at| self.signed(&at));
-        let share = map.remove("cpu_share").and_then(|at| self.share(&at));
-        let policy =
-            map.remove("decisions").map_or_else(policy::Policy::default, |at| self.policy(&at));
-        let log = map.remove("log").map_or_else(boot::Log::default, |at| self.log(&at));
-        self.leftover(map);
+        let first = map.remove("first_start").and_then(|value| self.boolean(&value));
+        let lease = map.remove("lease_ms").and_then(|value| self.unsigned(&value));
+        let grace = map.remove("grace_ms").and_then(|value| self.unsigned(&value));
+        let offset = map.remove("clock_offset_ms").and_then(|value| self.signed(&value));
+        let cores = map.remove("cpu_share").and_then(|value| self.millicores(&value));
+        let policy = map
+            .remove("decisions")
+            .map_or_else(policy::Policy::default, |value| self.policy(&value));
+        let log = map.remove("log").map_or_else(boot::Log::default, |value| self.log(&value));
+        self.reject_unknown(map);
         Some(Node {
             instance: instance?,
             zone: zone?,
@@ -148,23 +153,23 @@
             first: first.unwrap_or(false),
             lease_ms: lease.unwrap_or(DEFAULT_LEASE_MS),
             grace_ms: grace.unwrap_or(DEFAULT_GRACE_MS),
-            cores: share.unwrap_or(CORE),
+            cores: cores.unwrap_or(MILLICORES),
             policy,
             log,
             clock_offset: offset.unwrap_or(0),
         })
     }
 
-    /// A part of a core, above 0, in thousandths.
-    fn share(&mut self, at: &Located<'_>) -> Option<u64> {
-        let share = at.value().as_f64().filter(|share| (0.001..=1_000.0).contains(share));
-        if share.is_none() {
-            self.faults.push(at.fault("expected a number of cores from 0.001 to 1000"));
+    /// Reads a number of cores from 0.001 to 1000 and returns it in millicores.
+    fn millicores(&mut self, value: &Located<'_>) -> Option<u64> {
+        let cores = value.value().as_f64().filter(|cores| (0.001..=1_000.0).contains(cores));
+        if cores.is_none() {
+            self.faults.push(value.fault("expected a number of cores from 0.001 to 1000"));
         }
-        share.map(|share| (share * CORE as f64) as u64)
+        cores.map(|cores| (cores * MILLICORES as f64) as u64)
     }
 
-    fn address_of<'a>(
+    fn address_if<'a>(
         &mut self,
         root: &Located<'a>,
         map: &mut Members<'a>,
@@ -177,30 +182,30 @@
         self.address(root, map, key)
     }
 
-    fn policy(&mut self, at: &Located<'_>) -> policy::Policy {
+    fn policy(&mut self, value: &Located<'_>) -> policy::Policy {
         let mut policy = policy::Policy::default();
-        let Some(mut map) = self.object(at) else { return policy };
-        for (name, choice) in policy::Policy::CHOICES {
-            if let Some(on) = map.remove(*name).and_then(|at| self.flag(&at)) {
-                *choice(&mut policy) = on;
+        let Some(mut map) = self.object(value) else { return policy };
+        for (name, field) in policy::Policy::SWITCHES {
+            if let Some(on) = map.remove(*name).and_then(|value| self.boolean(&value)) {
+                *field(&mut policy) = on;
             }
         }
-        self.leftover(map);
+        self.reject_unknown(map);
         policy
     }
 
     fn items<'a>(&mut self, map: &mut Members<'a>, key: &str) -> Vec<Located<'a>> {
-        let Some(at) = map.remove(key) else { return Vec::new() };
-        let items = at.items();
+        let Some(value) = map.remove(key) else { return Vec::new() };
+        let items = value.items();
         if items.is_none() {
-            self.faults.push(at.fault("expected an array"));
+            self.faults.push(value.fault("expected an array"));
         }
         items.unwrap_or_default()
     }
 
     fn zones(&mut self, map: &mut Members<'_>) -> Vec<name::Name> {
         let items = self.items(map, "availability_zones");
-        let zones = items.iter().filter_map(|item| self.text(item));
+        let zones = items.iter().filter_map(|item| self.string(item));
         zones.map(|zone| name::Name::new(&zone)).collect()
     }
 
--- a/crates/state/src/policy.rs
+++ b/crates/state/src/policy.rs
@@ -1,38 +1,38 @@
-//! Which ways of deciding about jobs are in use.
+//! Scheduling features that can be disabled.
 //!
-//! Each can be switched off in the bootstrap file, to see what it is worth under one's own load. All
-//! are in use by default.
+//! All features are enabled by default. An operator can disable each one in the bootstrap file to
+//! see its effect under the operator's own load.
 
-/// Ways of deciding, by the name that the bootstrap file has for them.
+/// Scheduling features. Each field has the name of its key in the bootstrap file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[expect(clippy::struct_excessive_bools, reason = "independent choices, not states of one thing")]
 pub struct Policy {
-    /// Tasks for which one zone has no room are offered to the next.
+    /// Offers tasks to the next zone if a zone has no capacity for them.
     pub sharing: bool,
-    /// The shortest jobs go first while more waits than there is room for.
+    /// Starts the shortest jobs first while more tasks wait than there is capacity for.
     pub shortest_first: bool,
-    /// What is late already is refused while more waits than all upstreams hold.
+    /// Rejects jobs that are already late while more tasks wait than all upstreams can hold.
     pub refuse_late: bool,
-    /// What can't be of use any more is refused.
+    /// Rejects jobs whose result can no longer be useful.
     pub refuse_hopeless: bool,
-    /// A job that would wait behind too much is refused when it arrives.
+    /// Rejects a job on arrival if the queue ahead of it is too long.
     pub refuse_overload: bool,
-    /// Upstreams that fail what they start are ejected, and those that failed lately come last.
+    /// Ejects upstreams whose tasks fail, and ranks upstreams with recent failures last.
     pub eject: bool,
-    /// Tasks that make no progress are stopped and started elsewhere.
+    /// Stops tasks that make no progress and restarts them on another upstream.
     pub stop_hung: bool,
-    /// Upstreams that work slowly get nothing that would be late there.
+    /// Gives slow upstreams no tasks that would be late there.
     pub avoid_slow: bool,
-    /// Tasks go where they leave the least room over.
+    /// Places tasks by best fit: on the upstream that has the least capacity left afterwards.
     pub tight_fit: bool,
 }
 
-/// A choice, by its name.
-pub type Choice = (&'static str, fn(&mut Policy) -> &mut bool);
+/// Key of a feature in the bootstrap file, and an accessor of its field.
+pub type Switch = (&'static str, fn(&mut Policy) -> &mut bool);
 
 impl Policy {
-    /// All choices.
-    pub const CHOICES: &[Choice] = &[
+    /// All features.
+    pub const SWITCHES: &[Switch] = &[
         ("sharing", |policy| &mut policy.sharing),
         ("shortest_first", |policy| &mut policy.shortest_first),
         ("refuse_late", |policy| &mut policy.refuse_late),
--- a/crates/state/src/reader.rs
+++ b/crates/state/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads settings files and collects every fault on the way.
+//! Reads the values of bootstrap files and collects all errors.
 
 use std::{collections, net};
 
@@ -9,27 +9,28 @@
     name,
 };
 
-/// Members of an object that were not read yet.
+/// Members of an object that have not been read yet.
 pub(crate) type Members<'a> = collections::BTreeMap<String, Located<'a>>;
 
-/// The faults found so far.
+/// Reads values and records an error for each invalid one.
 #[derive(Default)]
 pub(crate) struct Reader {
+    /// The errors found so far.
     pub(crate) faults: Vec<Fault>,
 }
 
 impl Reader {
-    pub(crate) fn object<'a>(&mut self, at: &Located<'a>) -> Option<Members<'a>> {
-        let members = at.members();
+    pub(crate) fn object<'a>(&mut self, value: &Located<'a>) -> Option<Members<'a>> {
+        let members = value.members();
         if members.is_none() {
-            self.faults.push(at.fault("expected an object"));
+            self.faults.push(value.fault("expected an object"));
         }
         members
     }
 
-    pub(crate) fn leftover(&mut self, map: Members<'_>) {
-        for at in map.into_values() {
-            self.faults.push(at.fault("unknown key"));
+    pub(crate) fn reject_unknown(&mut self, map: Members<'_>) {
+        for value in map.into_values() {
+            self.faults.push(value.fault("unknown key"));
         }
     }
 
@@ -54,13 +55,13 @@
         map: &mut Members<'a>,
         key: &str,
     ) -> Option<name::Name> {
-        let at = self.required(parent, map, key)?;
-        let text = self.text(&at)?;
+        let value = self.required(parent, map, key)?;
+        let text = self.string(&value)?;
         if name::Name::is_valid(&text) {
             return Some(name::Name::new(&text));
         }
-        let why = "expected a name of 1 to 64 letters, digits, '-', '_' or '.'";
-        self.faults.push(at.fault(why));
+        let reason = "expected a name of 1 to 64 letters, digits, '-', '_' or '.'";
+        self.faults.push(value.fault(reason));
         None
     }
 
@@ -70,46 +71,50 @@
         map: &mut Members<'a>,
         key: &str,
     ) -> Option<net::SocketAddr> {
-        let at = self.required(parent, map, key)?;
-        let text = self.text(&at)?;
+        let value = self.required(parent, map, key)?;
+        let text = self.string(&value)?;
         let address = text.parse().ok();
         if address.is_none() {
-            self.faults.push(at.fault("expected IP:PORT"));
+            self.faults.push(value.fault("expected IP:PORT"));
         }
         address
     }
 
-    pub(crate) fn text(&mut self, at: &Located<'_>) -> Option<String> {
-        match at.value() {
+    pub(crate) fn string(&mut self, value: &Located<'_>) -> Option<String> {
+        match value.value() {
             Value::String(text) if !text.is_empty() => Some(text),
-            _ => self.reject(at, "expected a string that is not empty"),
+            _ => self.reject(value, "expected a string that is not empty"),
         }
     }
 
-    pub(crate) fn whole(&mut self, at: &Located<'_>) -> Option<u64> {
-        at.value().as_u64().or_else(|| self.reject(at, "expected a whole number from 0"))
+    pub(crate) fn unsigned(&mut self, value: &Located<'_>) -> Option<u64> {
+        value.value().as_u64().or_else(|| self.reject(value, "expected a whole number from 0"))
     }
 
-    pub(crate) fn signed(&mut self, at: &Located<'_>) -> Option<i64> {
-        at.value().as_i64().or_else(|| self.reject(at, "expected a whole number"))
+    pub(crate) fn signed(&mut self, value: &Located<'_>) -> Option<i64> {
+        value.value().as_i64().or_else(|| self.reject(value, "expected a whole number"))
     }
 
-    pub(crate) fn flag(&mut self, at: &Located<'_>) -> Option<bool> {
-        at.value().as_bool().or_else(|| self.reject(at, "expected true or false"))
+    pub(crate) fn boolean(&mut self, value: &Located<'_>) -> Option<bool> {
+        value.value().as_bool().or_else(|| self.reject(value, "expected true or false"))
     }
 
-    pub(crate) fn choice<T: Copy>(&mut self, at: &Located<'_>, choices: &[(&str, T)]) -> Option<T> {
-        let value = at.value();
-        let found = choices.iter().find(|(name, _)| value.as_str() == Some(name));
-        if let Some((_, choice)) = found {
-            return Some(*choice);
+    pub(crate) fn one_of<T: Copy>(
+        &mut self,
+        value: &Located<'_>,
+        options: &[(&str, T)],
+    ) -> Option<T> {
+        let json = value.value();
+        let found = options.iter().find(|(name, _)| json.as_str() == Some(name));
+        if let Some((_, option)) = found {
+            return Some(*option);
         }
-        let names: Vec<_> = choices.iter().map(|(name, _)| *name).collect();
-        self.reject(at, &format!("expected one of {}", names.join(", ")))
+        let names: Vec<_> = options.iter().map(|(name, _)| *name).collect();
+        self.reject(value, &format!("expected one of {}", names.join(", ")))
     }
 
-    pub(crate) fn reject<T>(&mut self, at: &Located<'_>, why: &str) -> Option<T> {
-        self.faults.push(at.fault(why));
+    pub(crate) fn reject<T>(&mut self, value: &Located<'_>, reason: &str) -> Option<T> {
+        self.faults.push(value.fault(reason));
         None
     }
 }
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -1,77 +1,78 @@
-//! The journal's replicated state: who owns a job, how it ended, and which instances are in.
+//! The journal's replicated state: the owner and outcome of each job, and the live instances.
 
 use std::collections;
 
 use crate::{id, name};
 
-/// Digest of a submission's content, to tell a resubmission from another job under the same id.
+/// Digest of the content of a submission. It distinguishes a resubmission from a different job with
+/// the same id.
 pub type Digest = u128;
 
 /// How a job ended, as the journal records it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
-    /// Every task answered.
+    /// Every task returned a result.
     Complete,
-    /// Final; some tasks may have run.
+    /// Final failure; some tasks may have run.
     Failed,
-    /// Final; no task was started.
+    /// Final failure; no task was started.
     NotRun,
 }
 
-/// The part of a team's quota that a job takes.
+/// The share of a team's quota that a job uses.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Claim {
-    /// Service path and team, the unit that quotas count by.
+    /// Service path and team. Quotas apply per account.
     pub account: name::Name,
-    /// Tasks of the job.
+    /// Number of tasks of the job.
     pub tasks: u32,
-    /// Most tasks in flight; 0 = no limit.
+    /// Maximum number of tasks in flight; 0 means no limit.
     pub flight: u32,
-    /// Most tasks admitted a second; 0 = no limit.
+    /// Maximum number of tasks admitted per second; 0 means no limit.
     pub rate: u32,
-    /// Wall clock of the owner, milliseconds since the Unix epoch.
+    /// Wall clock time of the owner, in milliseconds since the Unix epoch.
     pub at: u64,
 }
 
-/// A command of the journal.
+/// A command in the journal.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Command {
-    /// `owner` takes the job, unless somebody has it already.
+    /// Makes `owner` the owner of the job, unless the journal already has the job.
     Admit {
         /// The job.
         job: id::JobId,
-        /// Digest of its content.
+        /// Digest of the content of the job.
         digest: Digest,
-        /// Instance that will start its tasks.
+        /// Instance that will start the tasks.
         owner: name::Member,
-        /// What it takes of a quota, if one is set.
+        /// Quota that the job uses, if a quota is set.
         claim: Option<Claim>,
     },
-    /// The owner's job ended.
+    /// Records that a job ended.
     End {
         /// The job.
         job: id::JobId,
-        /// The owner that ends it.
+        /// Owner of the job.
         owner: name::Member,
-        /// How.
+        /// Outcome of the job.
         outcome: Outcome,
     },
-    /// An instance may own jobs and holds slot shares from here on.
+    /// Adds a live instance, which may then own jobs and hold slot shares.
     Enter(name::Member),
-    /// An instance is out: its unfinished jobs end as failed.
+    /// Removes an instance from the live ones. Its unfinished jobs end as failed.
     Expel(name::Member),
 }
 
-/// One job of the table.
+/// One job in the table.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Entry {
-    /// Digest of its content.
+    /// Digest of the content of the job.
     pub digest: Digest,
     /// The owner, until the job has ended.
     pub owner: Option<name::Member>,
-    /// What it takes of a quota, until the job has ended.
+    /// Quota that the job uses, until the job has ended.
     pub claim: Option<Claim>,
-    /// How it ended.
+    /// Outcome of the job, once it has ended.
     pub outcome: Option<Outcome>,
 }
 
@@ -83,24 +84,25 @@
     }
 }
 
-/// What applying a command changed.
+/// Effect of a command on the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The job got its owner.
+    /// The job was admitted with this owner.
     Admitted(id::JobId, name::Member),
-    /// The proposer is not in; nothing changed.
+    /// The proposed owner is not a live instance; nothing changed.
     Refused(id::JobId, name::Member),
-    /// The job was there before; nothing changed.
+    /// The table already has the job; nothing changed.
     Known(id::JobId, name::Member),
-    /// The team is at its quota; nothing changed. Milliseconds after which to try again.
+    /// The quota of the team is exhausted; nothing changed. The number is the time after which to
+    /// retry, in milliseconds.
     Limited(id::JobId, name::Member, u64),
     /// The job ended.
     Ended(id::JobId, Outcome),
-    /// The set of instances that are in has changed.
+    /// The set of live instances changed.
     Members,
 }
 
-/// Jobs by id, and the instances that are in.
+/// Jobs by id, and the live instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Table {
     jobs: collections::BTreeMap<id::JobId, Entry>,
@@ -109,22 +111,24 @@
     floor: u64,
 }
 
-/// What an account uses of its quota.
+/// Quota usage of an account.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Usage {
-    flight: u32,
-    /// Tokens left, in thousandths of a task.
+    /// Tasks in flight.
+    in_flight: u32,
+    /// Tokens left in the token bucket, in thousandths of a task.
     tokens: u64,
-    /// Wall clock of the last refill, milliseconds.
-    at: u64,
+    /// Wall clock time of the last refill, in milliseconds. A debt moves it into the future.
+    refilled: u64,
 }
 
 impl Usage {
-    /// Takes the claim.
+    /// Charges the claim to the quota.
     ///
     /// # Errors
     ///
-    /// The quota is used up; the error is the time after which to try again, milliseconds.
+    /// Fails if the quota is exhausted. The error is the time after which to retry, in
+    /// milliseconds.
     ///
     /// ```
     /// let mut usage = state::table::Usage::default();
@@ -135,75 +139,77 @@
     /// ```
     pub fn take(&mut self, claim: &Claim) -> Result<(), u64> {
         const RETRY_MS: u64 = 250;
-        if claim.flight > 0 && self.flight + claim.tasks > claim.flight {
+        if claim.flight > 0 && self.in_flight + claim.tasks > claim.flight {
             return Err(RETRY_MS);
         }
         if claim.rate > 0 {
             self.refill(claim);
             let cost = u64::from(claim.tasks) * 1_000;
-            // A job larger than a second's tokens passes when the bucket is full, and leaves debt.
+            // A job that needs more tokens than one second yields is admitted when the bucket is
+            // full, and leaves a debt.
             let needed = cost.min(u64::from(claim.rate) * 1_000);
             if self.tokens < needed {
                 return Err((needed - self.tokens).div_ceil(u64::from(claim.rate)));
             }
             let debt = cost.saturating_sub(self.tokens);
             self.tokens = self.tokens.saturating_sub(cost);
-            self.at += debt / u64::from(claim.rate);
+            self.refilled += debt / u64::from(claim.rate);
         }
-        self.flight += claim.tasks;
+        self.in_flight += claim.tasks;
         Ok(())
     }
 
-    /// Gives back what a claim holds in flight.
+    /// Returns the in-flight tasks of a claim to the quota.
     pub fn release(&mut self, claim: &Claim) {
-        self.flight = self.flight.saturating_sub(claim.tasks);
+        self.in_flight = self.in_flight.saturating_sub(claim.tasks);
     }
 
     fn refill(&mut self, claim: &Claim) {
-        let full = u64::from(claim.rate) * 1_000;
-        let passed = claim.at.saturating_sub(self.at);
-        self.tokens = full.min(self.tokens.saturating_add(passed * u64::from(claim.rate)));
-        self.at = self.at.max(claim.at);
+        let capacity = u64::from(claim.rate) * 1_000;
+        let elapsed = claim.at.saturating_sub(self.refilled);
+        self.tokens = capacity.min(self.tokens.saturating_add(elapsed * u64::from(claim.rate)));
+        self.refilled = self.refilled.max(claim.at);
     }
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The entry of a job.
+    /// Returns the entry of a job.
     pub fn get(&self, job: &id::JobId) -> Option<&Entry> {
         self.jobs.get(job)
     }
 
-    /// Jobs minted before this may have been forgotten; milliseconds since the Unix epoch.
+    /// Returns the time before which jobs may have been pruned, by the creation time of their ids,
+    /// in milliseconds since the Unix epoch.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Number of jobs remembered.
+    /// Returns the number of jobs in the table.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether no job is remembered.
+    /// Returns whether the table has no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Instances that may own jobs, in the order of their names.
+    /// Returns the instances that may own jobs, ordered by name.
     pub fn live(&self) -> impl Iterator<Item = &name::Member> {
         self.live.iter()
     }
 
-    /// Whether this life of an instance may own jobs.
+    /// Returns whether this incarnation of an instance may own jobs.
     pub fn is_live(&self, member: &name::Member) -> bool {
         self.live.contains(member)
     }
 
-    /// Applies one command and says what it changed.
+    /// Applies one command and returns its effects.
     pub fn apply(&mut self, command: Command) -> Vec<Effect> {
         match command {
             Command::Admit { job, digest, owner, claim } => {
@@ -222,9 +228,9 @@
         owner: name::Member,
         claim: Option<Claim>,
     ) -> Effect {
-        // A job that ended without a start may be submitted again.
-        let held = self.jobs.get(&job).filter(|entry| entry.outcome != Some(Outcome::NotRun));
-        if held.is_some() {
+        // A job that ended before any task was started may be submitted again.
+        let existing = self.jobs.get(&job).filter(|entry| entry.outcome != Some(Outcome::NotRun));
+        if existing.is_some() {
             return Effect::Known(job, owner);
         }
         if !self.live.contains(&owner) {
@@ -254,10 +260,10 @@
     }
 
     fn enter(&mut self, member: name::Member) -> Vec<Effect> {
-        // A former life of the same instance can own nothing any more.
-        let former: Vec<_> =
+        // A previous incarnation of the same instance can no longer own jobs.
+        let previous: Vec<_> =
             self.live.iter().filter(|m| m.name == member.name && **m != member).cloned().collect();
-        let mut effects: Vec<_> = former.iter().flat_map(|m| self.expel(m)).collect();
+        let mut effects: Vec<_> = previous.iter().flat_map(|m| self.expel(m)).collect();
         if self.live.insert(member) {
             effects.push(Effect::Members);
         }
@@ -289,12 +295,13 @@
         }
     }
 
-    /// Forgets ended jobs minted before `before` (milliseconds since the Unix epoch).
+    /// Removes ended jobs whose ids were created before `before` (milliseconds since the Unix
+    /// epoch) and returns their number.
     ///
-    /// The caller must answer ids that old without running them.
+    /// The caller must answer requests for ids that old without running the jobs.
     pub fn prune(&mut self, before: u64) -> usize {
         self.floor = self.floor.max(before);
-        // All ids of a journal name the same zone, so they stand in the order of their age.
+        // All ids of a journal have the same zone, so they are sorted by age.
         let old = self.jobs.iter().take_while(|(job, _)| job.minted() < before);
         let ended = old.filter(|(_, entry)| entry.outcome.is_some());
         let ended: Vec<_> = ended.map(|(job, _)| job.clone()).collect();
--- a/crates/state/src/tree.rs
+++ b/crates/state/src/tree.rs
@@ -1,5 +1,5 @@
-//! The settings tree: root, any group levels, services. Each path inherits from the level above
-//! and overrides only what differs.
+//! The settings tree. Its levels are the root, optional groups, and services. Each path inherits
+//! the values of the level above and overrides only those that differ.
 
 use std::{collections, ops};
 
@@ -7,54 +7,56 @@
 
 use crate::{key, name};
 
-/// Outcomes of changes kept for resends: about a week at 1,300 changes a day.
-pub const KEPT_CHANGES: usize = 10_000;
-/// Longest path accepted, in bytes.
+/// Number of changes whose outcomes are kept to answer resends: about a week at 1,300 changes per
+/// day.
+pub const MAX_RECORDS: usize = 10_000;
+/// Maximum length of a path, in bytes.
 pub const MAX_PATH: usize = 256;
-/// Most levels of a path.
+/// Maximum number of levels of a path.
 pub const MAX_LEVELS: usize = 8;
 
-/// One operator's change of one path.
+/// A change of the overrides of one path, submitted by an operator.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Change {
-    /// Identity of the change; a resend carries the same one.
+    /// Id of the change; a resend has the same id.
     pub change: uuid::Uuid,
-    /// Tree version that the operator saw, or nothing for an unconditional change.
+    /// Tree version that the change is based on, or `None` for an unconditional change.
     pub base: Option<u64>,
-    /// Path that is set.
+    /// Path to change.
     pub path: name::Name,
-    /// Overrides as a JSON object; `null` removes one.
+    /// Overrides as a JSON object; a `null` value removes the override.
     pub values: String,
 }
 
-/// How a change ended. It is part of the replicated state, so a resend gets the same answer.
+/// Outcome of a change. It is part of the replicated state, so a resend gets the same answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
-    /// In force from this version on.
+    /// The change is in effect from this version on.
     Accepted(u64),
-    /// Another change came first; the version that stood then.
+    /// The change was rejected because another change came first. The number is the version of the
+    /// tree at that time.
     Conflict(u64),
 }
 
-/// One line of the log of changes.
+/// An entry of the change history.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Record {
     /// The change.
     pub change: Change,
-    /// How it ended.
+    /// Outcome of the change.
     pub outcome: Outcome,
 }
 
-/// A value in force and the path that set it.
+/// An effective value and its origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Effective {
     /// The value.
     pub value: Value,
-    /// Path of the level that it comes from: `""` for the root, `"default"` when nothing set it.
+    /// Path of the level that sets the value: `""` for the root, `"default"` if no level sets it.
     pub origin: String,
 }
 
-/// The values in force at one path, typed.
+/// Typed effective values at one path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[expect(missing_docs, reason = "each field is the key of the same name in `key::KEYS`")]
 pub struct Policy {
@@ -74,7 +76,7 @@
 
 type Overrides = collections::BTreeMap<String, String>;
 
-/// The whole tree with its version and the outcomes of its last changes.
+/// The settings tree with its version and the outcomes of the last changes.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Tree {
     version: u64,
@@ -83,43 +85,45 @@
 }
 
 impl Tree {
-    /// An empty tree at version 0: every key has its default, no service exists.
+    /// Creates an empty tree at version 0, in which every key has its default and no service
+    /// exists.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Number of accepted changes.
+    /// Returns the version, which is the number of accepted changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The last changes, oldest first.
+    /// Returns the last changes, oldest first.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.iter()
     }
 
-    /// Number of paths that were set.
+    /// Returns the number of paths that were set.
     pub fn len(&self) -> usize {
         self.paths.len()
     }
 
-    /// Whether no path was set yet.
+    /// Returns whether no path was set yet.
     pub fn is_empty(&self) -> bool {
         self.paths.is_empty()
     }
 
-    /// Whether `path` was ever set; the root always exists.
+    /// Returns whether `path` was ever set. The root always exists.
     pub fn exists(&self, path: &str) -> bool {
         path.is_empty() || self.paths.contains_key(path)
     }
 
-    /// Outcome of an earlier change with this id.
+    /// Returns the outcome of an earlier change with this id, if it is still recorded.
     pub fn outcome(&self, change: uuid::Uuid) -> Option<Outcome> {
         let same = |record: &&Record| record.change.change == change;
         self.records.iter().rev().find(same).map(|record| record.outcome)
     }
 
-    /// Applies one change. The same change id always gives the first outcome.
+    /// Applies a change. A change with the id of a recorded one has no effect and returns the first
+    /// outcome.
     pub fn apply(&mut self, change: Change) -> Outcome {
         if let Some(outcome) = self.outcome(change.change) {
             return outcome;
@@ -129,7 +133,7 @@
             _ => self.accept(&change),
         };
         self.records.push_back(Record { change, outcome });
-        if self.records.len() > KEPT_CHANGES {
+        if self.records.len() > MAX_RECORDS {
             self.records.pop_front();
         }
         outcome
@@ -150,59 +154,59 @@
         Outcome::Accepted(self.version)
     }
 
-    /// Whether `path` is a level above one that was set.
-    fn is_above(&self, path: &str) -> bool {
-        let below = format!("{path}/");
+    /// Returns whether any path below `path` was set.
+    fn has_descendant(&self, path: &str) -> bool {
+        let prefix = format!("{path}/");
         let next = self
             .paths
-            .range::<str, _>((ops::Bound::Included(below.as_str()), ops::Bound::Unbounded))
+            .range::<str, _>((ops::Bound::Included(prefix.as_str()), ops::Bound::Unbounded))
             .next();
-        next.is_some_and(|(name, _)| name.as_str().starts_with(&below))
+        next.is_some_and(|(name, _)| name.as_str().starts_with(&prefix))
     }
 
-    /// Values in force at `path` and where each comes from; nothing if neither the path nor any
-    /// below it was ever set.
+    /// Returns the effective values at `path` with their origins, or `None` if neither the path nor
+    /// any path below it was ever set.
     pub fn effective(&self, path: &str) -> Option<collections::BTreeMap<&'static str, Effective>> {
-        if !self.exists(path) && !self.is_above(path) {
+        if !self.exists(path) && !self.has_descendant(path) {
             return None;
         }
-        Some(key::KEYS.iter().map(|key| (key.name, self.lookup(path, key))).collect())
+        Some(key::KEYS.iter().map(|key| (key.name, self.resolve(path, key))).collect())
     }
 
-    /// Typed values in force at `path`; nothing if the path was never set.
+    /// Returns the typed effective values at `path`, or `None` if the path was never set.
     pub fn policy(&self, path: &str) -> Option<Policy> {
         self.exists(path).then(|| self.policy_at(path))
     }
 
-    /// Typed values that hold at `path`, whether or not it was ever set.
+    /// Returns the typed effective values at `path`, whether or not the path was ever set.
     pub fn policy_at(&self, path: &str) -> Policy {
-        let get = |name: &str| key::find(name).map(|key| self.lookup(path, key).value);
-        let whole = |name: &str| get(name).and_then(|v| v.as_u64()).unwrap_or_default();
-        let share = |name: &str| get(name).and_then(|v| v.as_f64()).unwrap_or_default();
+        let get = |name: &str| key::find(name).map(|key| self.resolve(path, key).value);
+        let integer = |name: &str| get(name).and_then(|v| v.as_u64()).unwrap_or_default();
+        let fraction = |name: &str| get(name).and_then(|v| v.as_f64()).unwrap_or_default();
         Policy {
-            max_queue: whole("max_queue"),
-            deadline_ms: whole("deadline_ms"),
-            max_deadline_ms: whole("max_deadline_ms"),
-            max_tasks: whole("max_tasks"),
-            retry_budget: share("retry_budget"),
-            hedge_quantile: share("hedge_quantile"),
-            answer_copies: whole("answer_copies"),
+            max_queue: integer("max_queue"),
+            deadline_ms: integer("deadline_ms"),
+            max_deadline_ms: integer("max_deadline_ms"),
+            max_tasks: integer("max_tasks"),
+            retry_budget: fraction("retry_budget"),
+            hedge_quantile: fraction("hedge_quantile"),
+            answer_copies: integer("answer_copies"),
             cross_zone: get("cross_zone").and_then(|v| v.as_bool()).unwrap_or_default(),
-            team_in_flight: whole("team_in_flight"),
-            team_rate: whole("team_rate"),
-            upstream_lease_ms: whole("upstream_lease_ms"),
-            retention_ms: whole("retention_ms"),
+            team_in_flight: integer("team_in_flight"),
+            team_rate: integer("team_rate"),
+            upstream_lease_ms: integer("upstream_lease_ms"),
+            retention_ms: integer("retention_ms"),
         }
     }
 
-    /// The longest retention in force at any path, milliseconds.
+    /// Returns the longest effective retention of all paths, in milliseconds.
     pub fn longest_retention(&self) -> u64 {
         let at = |path: &str| self.policy_at(path).retention_ms;
         let paths = self.paths.keys().map(|path| at(path.as_str()));
         paths.max().unwrap_or(0).max(at(""))
     }
 
-    /// Whether any path lets its jobs run in another zone.
+    /// Returns whether any path allows its jobs to run in another zone.
     pub fn any_cross_zone(&self) -> bool {
         let allows = |overrides: &Overrides| {
             overrides.get("cross_zone").is_some_and(|value| value == "true")
@@ -210,7 +214,7 @@
         self.paths.values().any(allows)
     }
 
-    fn lookup(&self, path: &str, key: &key::Key) -> Effective {
+    fn resolve(&self, path: &str, key: &key::Key) -> Effective {
         let mut level = Some(path);
         while let Some(at) = level {
             let text = self.paths.get(at).and_then(|overrides| overrides.get(key.name));
@@ -223,7 +227,7 @@
     }
 }
 
-/// Says what is wrong with a path, or nothing. The root is the empty path.
+/// Returns why a path is invalid, or `None` if it is valid. The root is the empty path.
 pub fn path_fault(path: &str) -> Option<&'static str> {
     if path.is_empty() {
         return None;
@@ -237,18 +241,18 @@
     if path.split('/').all(name::Name::is_valid) {
         return None;
     }
-    Some("a level of the path is not a name (letters, digits, '-', '_', '.')")
+    Some("a level of the path is not a valid name (letters, digits, '-', '_', '.')")
 }
 
-/// Every bad key of a change with the reason.
+/// Returns the invalid keys of a change, each with the reason.
 pub fn value_faults(values: &serde_json::Map<String, Value>) -> Vec<(String, String)> {
     let fault = |(name, value): (&String, &Value)| {
-        let why = match key::find(name) {
+        let reason = match key::find(name) {
             None => Some("unknown key".to_owned()),
             Some(_) if value.is_null() => None,
             Some(key) => key.fault(value),
         };
-        why.map(|why| (name.clone(), why))
+        reason.map(|reason| (name.clone(), reason))
     };
     values.iter().filter_map(fault).collect()
 }
--- a/crates/state/src/upstream.rs
+++ b/crates/state/src/upstream.rs
@@ -1,80 +1,81 @@
-//! The table of upstreams that announced themselves, each under a lease.
+//! The table of announced upstreams. Each upstream has a lease.
 
 use std::collections;
 
 use crate::name;
 
-/// Whether an upstream takes new work.
+/// Lifecycle phase of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Takes work.
+    /// The upstream accepts tasks.
     #[default]
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// The upstream finishes its running tasks and accepts no new ones.
     Leaving,
-    /// Withdrew its announcement.
+    /// The upstream withdrew its announcement.
     Gone,
 }
 
-/// What an upstream can hold, or what a task needs.
+/// Resource capacity of an upstream, or resource needs of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Needs {
-    /// Processor cores.
+    /// CPU cores.
     pub cores: f64,
     /// Memory in megabytes.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
 impl Needs {
-    /// Whether all of it fits into `room`.
+    /// Returns whether these resources fit into `room`.
     pub fn fits(&self, room: &Self) -> bool {
         self.cores <= room.cores
             && self.memory_mb <= room.memory_mb
             && self.accelerators <= room.accelerators
     }
 
-    /// Whether nothing is asked for.
+    /// Returns whether no resources are needed.
     pub fn is_none(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// An upstream's announcement.
+/// Announcement of an upstream.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Upstream {
-    /// Its name.
+    /// Name of the upstream.
     pub name: name::Name,
-    /// Path of the service it runs.
+    /// Path of the service that the upstream runs.
     pub service: name::Name,
-    /// Availability zone it is in.
+    /// Availability zone of the upstream.
     pub zone: name::Name,
-    /// Address of its task port, `IP:PORT`.
+    /// Address of the task port, `IP:PORT`.
     pub address: name::Name,
-    /// Tasks it runs at a time.
+    /// Number of tasks that the upstream runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// What it can hold; nothing declared is unbounded.
+    /// Resource capacity of the upstream. `None`, if it declared none, means no limit.
     pub room: Option<Needs>,
-    /// Order of its announcements, so that a late one never replaces a newer one.
+    /// Sequence number of the announcement, so that a delayed announcement never replaces a newer
+    /// one.
     pub stamp: u64,
 }
 
-/// An upstream with the end of its lease.
+/// An upstream and the end of its lease.
 #[derive(Clone, Debug)]
 pub struct Leased {
     /// The announcement.
     pub info: Upstream,
-    /// When the lease ends, in microseconds of the caller's monotonic clock.
+    /// End of the lease, in microseconds of the caller's monotonic clock.
     pub until: u64,
 }
 
 impl Leased {
-    /// Whether new work may go there at `now`.
+    /// Returns whether the upstream may get new tasks at `now`.
     pub fn is_open(&self, now: u64) -> bool {
         self.info.phase == Phase::Serving && now < self.until
     }
@@ -87,40 +88,40 @@
 }
 
 impl Upstreams {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Number of upstreams known, with a live lease or not.
+    /// Returns the number of known upstreams, including those whose lease has expired.
     pub fn len(&self) -> usize {
         self.map.len()
     }
 
-    /// Whether none is known.
+    /// Returns whether no upstream is known.
     pub fn is_empty(&self) -> bool {
         self.map.is_empty()
     }
 
-    /// The upstream of that name.
+    /// Returns the upstream with this name.
     pub fn get(&self, name: &str) -> Option<&Leased> {
         self.map.get(name)
     }
 
-    /// All upstreams, in the order of their names.
+    /// Returns all upstreams, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Leased> {
         self.map.values()
     }
 
-    /// Takes an announcement whose lease ends at `until`; tells whether anything but the lease
-    /// has changed. An older announcement than the one held is ignored.
+    /// Stores an announcement whose lease ends at `until`, and returns whether anything but the
+    /// lease changed. An announcement older than the stored one is ignored.
     pub fn put(&mut self, info: Upstream, until: u64) -> bool {
         match self.map.get_mut(&info.name) {
-            Some(held) if held.info.stamp > info.stamp => false,
-            Some(held) => {
-                let same = Upstream { stamp: info.stamp, ..held.info.clone() } == info;
-                held.until = held.until.max(until);
-                held.info = info;
+            Some(entry) if entry.info.stamp > info.stamp => false,
+            Some(entry) => {
+                let same = Upstream { stamp: info.stamp, ..entry.info.clone() } == info;
+                entry.until = entry.until.max(until);
+                entry.info = info;
                 !same
             }
             None => {
@@ -130,22 +131,23 @@
         }
     }
 
-    /// Extends a lease without a new announcement; false if the upstream is not known.
+    /// Extends a lease without a new announcement. Returns false if the upstream is unknown.
     pub fn renew(&mut self, name: &str, stamp: u64, until: u64) -> bool {
-        let Some(held) = self.map.get_mut(name) else {
+        let Some(entry) = self.map.get_mut(name) else {
             return false;
         };
-        if stamp >= held.info.stamp {
-            held.info.stamp = stamp;
-            held.until = held.until.max(until);
+        if stamp >= entry.info.stamp {
+            entry.info.stamp = stamp;
+            entry.until = entry.until.max(until);
         }
         true
     }
 
-    /// Drops upstreams whose lease ended before `before` and gives their names.
+    /// Removes upstreams whose lease ended before `before`, and returns their names.
     pub fn prune(&mut self, before: u64) -> Vec<name::Name> {
-        let old = |l: &&Leased| l.until < before;
-        let names: Vec<_> = self.map.values().filter(old).map(|l| l.info.name.clone()).collect();
+        let expired = |l: &&Leased| l.until < before;
+        let names: Vec<_> =
+            self.map.values().filter(expired).map(|l| l.info.name.clone()).collect();
         for name in &names {
             self.map.remove(name);
         }
--- a/crates/state/src/wal.rs
+++ b/crates/state/src/wal.rs
@@ -1,15 +1,15 @@
-//! A write-ahead log: checksummed records in one file, synced on request.
+//! A write-ahead log: checksummed records in one file, synced after each append.
 //!
-//! A record is a header of three little-endian 32-bit words (length, checksum of the length,
-//! checksum of the payload; CRC-32 as in RFC 1952) and the payload. The length has a checksum of
-//! its own, so that a flipped bit in it is told apart from a write that was cut off.
+//! A record consists of a header of three little-endian 32-bit words (length, checksum of the
+//! length, checksum of the payload; CRC-32 as in RFC 1952) and the payload. The length has its own
+//! checksum, so that a bit flip in it is distinguished from an incomplete write.
 
 use std::{fs, io, io::Read as _, io::Seek as _, io::Write as _, path};
 
 use crate::error;
 
-const HEADER: usize = 12;
-/// Largest payload of one record, in bytes.
+const HEADER_LEN: usize = 12;
+/// Maximum size of the payload of a record, in bytes.
 pub const MAX_RECORD: usize = 64 << 20;
 
 /// An open log file, positioned at its end.
@@ -19,22 +19,24 @@
     path: path::PathBuf,
 }
 
-/// What a log held when it was opened.
+/// Contents of a log when it was opened.
 #[derive(Debug, Default)]
 pub struct Replay {
-    /// Payloads, in the order in which they were written.
+    /// Payloads of the records, in the order of their writes.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of an unfinished write that were cut from the end.
+    /// Number of bytes of an incomplete write that were truncated from the end.
     pub torn: u64,
 }
 
 impl Wal {
-    /// Opens or creates the log at `path`, cuts a torn tail and reads all records.
+    /// Opens or creates the log at `path`, truncates an incomplete write at its end and reads all
+    /// records.
     ///
     /// # Errors
     ///
-    /// The file cannot be read or written, or a record before the last one is damaged; the error
-    /// then names the file and the offset.
+    /// Fails if the file cannot be read or written, or if a record before the last one or the
+    /// length of any record is corrupt. In the case of corruption, the error has the file and the
+    /// offset.
     ///
     /// ```
     /// let folder = tempfile::tempdir().unwrap();
@@ -59,12 +61,12 @@
         Ok((Self { file, path: path.to_owned() }, replay))
     }
 
-    /// Appends records and syncs the file; they last once this returns.
+    /// Appends records and syncs the file. The records are durable once this returns.
     ///
     /// # Errors
     ///
-    /// A write or the sync failed. What the file holds is then unknown, and the log must not be
-    /// written again.
+    /// Fails if a write or the sync fails. The contents of the file are then unknown, and the
+    /// caller must not write to the log again.
     ///
     /// ```
     /// # let folder = tempfile::tempdir().unwrap();
@@ -84,7 +86,7 @@
         self.file.sync_data().map_err(io)
     }
 
-    /// The file.
+    /// Returns the path of the log file.
     pub fn path(&self) -> &path::Path {
         &self.path
     }
@@ -100,47 +102,47 @@
 
 fn scan(bytes: &[u8], path: &path::Path) -> Result<(Replay, u64), error::Error> {
     let mut replay = Replay::default();
-    let mut at = 0;
-    while at < bytes.len() {
-        match decode(&bytes[at..]) {
-            Step::Record(payload) => {
+    let mut offset = 0;
+    while offset < bytes.len() {
+        match decode(&bytes[offset..]) {
+            Decoded::Record(payload) => {
                 replay.records.push(payload.to_vec());
-                at += HEADER + payload.len();
+                offset += HEADER_LEN + payload.len();
             }
-            Step::Torn => {
-                replay.torn = (bytes.len() - at) as u64;
+            Decoded::Torn => {
+                replay.torn = (bytes.len() - offset) as u64;
                 break;
             }
-            Step::Damaged(why) => {
-                return Err(error::Error::damage("read log", why, path, at as u64));
+            Decoded::Corrupt(reason) => {
+                return Err(error::Error::corrupt("read log", reason, path, offset as u64));
             }
         }
     }
-    Ok((replay, at as u64))
+    Ok((replay, offset as u64))
 }
 
-enum Step<'a> {
+enum Decoded<'a> {
     Record(&'a [u8]),
     Torn,
-    Damaged(&'static str),
+    Corrupt(&'static str),
 }
 
-fn decode(rest: &[u8]) -> Step<'_> {
-    // A file that grew before its data was written reads as zeros.
-    if rest.len() < HEADER || rest.iter().all(|byte| *byte == 0) {
-        return Step::Torn;
+fn decode(rest: &[u8]) -> Decoded<'_> {
+    // The file reads as zeros if its size was extended before its data was written.
+    if rest.len() < HEADER_LEN || rest.iter().all(|byte| *byte == 0) {
+        return Decoded::Torn;
     }
     let word = |at: usize| u32::from_le_bytes([rest[at], rest[at + 1], rest[at + 2], rest[at + 3]]);
     let length = word(0) as usize;
     if crc32fast::hash(&rest[..4]) != word(4) || length > MAX_RECORD {
-        return Step::Damaged("bad checksum of a record's length");
+        return Decoded::Corrupt("bad checksum of a record's length");
     }
-    let Some(payload) = rest.get(HEADER..HEADER + length) else {
-        return Step::Torn;
+    let Some(payload) = rest.get(HEADER_LEN..HEADER_LEN + length) else {
+        return Decoded::Torn;
     };
     if crc32fast::hash(payload) == word(8) {
-        return Step::Record(payload);
+        return Decoded::Record(payload);
     }
-    let is_last = rest.len() == HEADER + length;
-    if is_last { Step::Torn } else { Step::Damaged("bad checksum of a record") }
+    let is_last = rest.len() == HEADER_LEN + length;
+    if is_last { Decoded::Torn } else { Decoded::Corrupt("bad checksum of a record") }
 }
--- a/crates/state/tests/boot.rs
+++ b/crates/state/tests/boot.rs
@@ -1,9 +1,9 @@
-//! The bootstrap file: every fault by path, line and reason.
+//! Bootstrap file: the parser must report every error with its path, line and reason.
 
 use proptest::prelude::*;
 use state::{Boot, boot};
 
-const GOOD: &str = r#"{"instance": "west-1", "availability_zone": "west",
+const VALID: &str = r#"{"instance": "west-1", "availability_zone": "west",
  "client_address": "127.0.0.1:7101", "operator_address": "127.0.0.1:7201",
  "peer_address": "127.0.0.1:7301", "data_folder": "west-1.data",
  "peers": [{"instance": "west-2", "availability_zone": "west",
@@ -12,7 +12,7 @@
 
 #[test]
 fn good_file() {
-    let boot = Boot::parse(GOOD).unwrap();
+    let boot = Boot::parse(VALID).unwrap();
     assert_eq!(boot.instance.as_str(), "west-1");
     assert!(boot.peers[0].disk);
     assert_eq!(boot.log, boot::Log { level: boot::Level::Debug, form: boot::Form::Text });
@@ -61,11 +61,12 @@
         ..ProptestConfig::with_cases(256)
     })]
 
-    /// Any change of a good file is read without a panic; every fault has a line of the file.
+    /// The parser must not panic on any edit of a valid file, and each error must have a line of
+    /// the file.
     #[test]
-    fn any_edit(at in 0..GOOD.len(), cut in 0..30_usize, text in "[ -~]{0,12}") {
-        let end = (at + cut).min(GOOD.len());
-        let edited = format!("{}{text}{}", &GOOD[..at], &GOOD[end..]);
+    fn any_edit(at in 0..VALID.len(), cut in 0..30_usize, text in "[ -~]{0,12}") {
+        let end = (at + cut).min(VALID.len());
+        let edited = format!("{}{text}{}", &VALID[..at], &VALID[end..]);
         if let Err(faults) = Boot::parse(&edited) {
             prop_assert!(!faults.is_empty());
             let lines = edited.split('\n').count();
--- a/crates/state/tests/journal.rs
+++ b/crates/state/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal's table: one owner a job, expulsion, quotas.
+//! The journal's job table: one owner per job, expulsion of instances, quotas.
 
 use state::{
     JobId, Member, Name,
@@ -30,7 +30,7 @@
     table.apply(Command::Enter(b.clone()));
     assert_eq!(table.apply(admit(job(1), &a, None)), [Effect::Admitted(job(1), a.clone())]);
     assert_eq!(table.apply(admit(job(1), &b, None)), [Effect::Known(job(1), b.clone())]);
-    // Only the owner ends it, and once.
+    // Only the owner can end the job, and only once.
     let end = |owner: &Member, outcome| Command::End { job: job(1), owner: owner.clone(), outcome };
     assert_eq!(table.apply(end(&b, Outcome::Failed)), []);
     assert_eq!(table.apply(end(&a, Outcome::Complete)), [Effect::Ended(job(1), Outcome::Complete)]);
@@ -44,7 +44,7 @@
     let mut table = Table::new();
     table.apply(Command::Enter(old.clone()));
     table.apply(admit(job(1), &old, None));
-    // The next life of the same instance ends what the former one owned.
+    // The next incarnation of an instance ends the jobs of the previous one.
     let effects = table.apply(Command::Enter(new.clone()));
     assert!(effects.contains(&Effect::Ended(job(1), Outcome::Failed)), "{effects:?}");
     assert!(table.is_live(&new) && !table.is_live(&old));
@@ -73,7 +73,7 @@
     assert!(admitted(&table.apply(admit(job(3), &a, Some(claim(4, 10, 0, 0))))));
     table.apply(Command::End { job: job(1), owner: a.clone(), outcome: Outcome::Failed });
     assert!(admitted(&table.apply(admit(job(2), &a, Some(claim(5, 10, 0, 0))))));
-    // Expulsion gives everything back.
+    // Expulsion returns the whole quota.
     table.apply(Command::Expel(a.clone()));
     table.apply(Command::Enter(a.clone()));
     assert!(admitted(&table.apply(admit(job(4), &a, Some(claim(10, 10, 0, 0))))));
@@ -85,7 +85,7 @@
     let mut table = Table::new();
     table.apply(Command::Enter(a.clone()));
     let mut admitted = 0;
-    // 20 jobs of one task in each of 10 seconds, against 5 tasks a second.
+    // 20 jobs with one task each per second for 10 seconds, at a limit of 5 tasks per second.
     for step in 0..200_u64 {
         let at = 1_000_000 + step * 50;
         let effects = table.apply(admit(job(u128::from(step) + 1), &a, Some(claim(1, 0, 5, at))));
@@ -95,7 +95,7 @@
             other => panic!("{other:?}"),
         }
     }
-    // A second's worth at once, and then the rate.
+    // The quota admits a burst of one second's tasks, then tasks at the limit.
     assert!((50..=55).contains(&admitted), "{admitted}");
 }
 
@@ -107,7 +107,7 @@
     table.apply(admit(job(10), &a, None));
     table.apply(admit(job(20), &a, None));
     table.apply(Command::End { job: job(10), owner: a, outcome: Outcome::Complete });
-    assert_eq!(table.prune(30), 1, "what has not ended is kept");
+    assert_eq!(table.prune(30), 1, "a job that has not ended must be kept");
     assert!(table.get(&job(10)).is_none() && table.get(&job(20)).is_some());
     assert_eq!(table.floor(), 30);
 }
--- a/crates/state/tests/policy.rs
+++ b/crates/state/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Ways of deciding, switched in the bootstrap file.
+//! Scheduling features that the bootstrap file can disable.
 
 use state::{node::Node, policy::Policy};
 
@@ -15,18 +15,18 @@
 fn all_by_default() {
     let mut policy = parse("{}").unwrap().policy;
     assert_eq!(policy, Policy::default());
-    for (name, choice) in Policy::CHOICES {
-        assert!(*choice(&mut policy), "{name} is in use");
+    for (name, field) in Policy::SWITCHES {
+        assert!(*field(&mut policy), "{name} must be enabled by default");
     }
 }
 
 #[test]
 fn one_switched_off() {
-    for (name, choice) in Policy::CHOICES {
+    for (name, field) in Policy::SWITCHES {
         let mut policy = parse(&format!("{{\"{name}\": false}}")).unwrap().policy;
-        assert!(!*choice(&mut policy), "{name} is off");
-        *choice(&mut policy) = true;
-        assert_eq!(policy, Policy::default(), "{name} switches nothing else");
+        assert!(!*field(&mut policy), "{name} must be disabled");
+        *field(&mut policy) = true;
+        assert_eq!(policy, Policy::default(), "{name} must not affect other features");
     }
 }
 
--- a/crates/state/tests/tree.rs
+++ b/crates/state/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree: inheritance, races, resends.
+//! Settings tree: inheritance, conflicting changes, resends, validation.
 
 use state::{
     Tree, key,
@@ -28,7 +28,8 @@
         assert_eq!((found.value.to_string().as_str(), found.origin.as_str()), (value, origin));
     }
     assert!(tree.effective("ireland/offers").is_none());
-    // A level above one that was set shows what it hands down; no job can name it.
+    // A level above a path that was set shows the values that the path inherits, but jobs cannot
+    // use the level itself as their service.
     tree.apply(change(5, None, "aotearoa/packhouse", "{}"));
     assert_eq!(tree.effective("aotearoa").unwrap()["max_queue"].value.to_string(), "10");
     assert!(tree.policy("aotearoa").is_none() && tree.effective("aotea").is_none());
@@ -42,7 +43,7 @@
     assert_eq!(tree.apply(change(1, Some(0), "a", "{}")), Outcome::Accepted(1));
     assert_eq!(tree.apply(change(2, Some(0), "a", "{}")), Outcome::Conflict(1));
     assert_eq!(tree.apply(change(3, Some(1), "b", "{}")), Outcome::Accepted(2));
-    // Resent, also much later: the first outcome, and no second effect.
+    // A resend, even a much later one, returns the first outcome and has no second effect.
     assert_eq!(tree.apply(change(1, Some(0), "a", "{}")), Outcome::Accepted(1));
     assert_eq!(tree.apply(change(2, Some(0), "a", "{}")), Outcome::Conflict(1));
     assert_eq!((tree.version(), tree.records().count()), (2, 3));
@@ -51,10 +52,10 @@
 #[test]
 fn bounded_records() {
     let mut tree = Tree::new();
-    for number in 0..tree::KEPT_CHANGES as u128 + 10 {
+    for number in 0..tree::MAX_RECORDS as u128 + 10 {
         tree.apply(change(number, None, "a", "{}"));
     }
-    assert_eq!(tree.records().count(), tree::KEPT_CHANGES);
+    assert_eq!(tree.records().count(), tree::MAX_RECORDS);
 }
 
 #[test]
@@ -74,9 +75,9 @@
         ("upstream_lease_ms", "499", false),
         ("deadline_ms", "\"30\"", false),
     ];
-    for (name, value, fits) in cases {
+    for (name, value, valid) in cases {
         let value = serde_json::from_str(value).unwrap();
-        assert_eq!(key::find(name).unwrap().fault(&value).is_none(), fits, "{name} {value}");
+        assert_eq!(key::find(name).unwrap().fault(&value).is_none(), valid, "{name} {value}");
     }
     assert!(key::KEYS.iter().all(|key| key.fault(&key.default_value()).is_none()));
 }
