--- a/crates/apricotroute/src/client.rs
+++ b/crates/apricotroute/src/client.rs
@@ -1,4 +1,4 @@
-//! The client side: jobs, requests, and the announcements of upstreams.
+//! The HTTP interface for clients and upstreams: jobs, requests and announcements.
 
 use std::{sync, time};
 
@@ -14,7 +14,7 @@
 
 use crate::{control, reply};
 
-/// Content types that may hold JSON; common tools send some of them without being asked.
+/// Content types that may hold JSON; common tools send some of them by default.
 const JSON_TYPES: &[&str] = &[
     "application/json",
     "application/x-www-form-urlencoded",
@@ -23,25 +23,25 @@
     "text/json",
 ];
 
-/// Answers clients and upstreams.
+/// Handles HTTP requests of clients and upstreams.
 #[derive(Clone, Debug)]
-pub struct Client {
+pub struct ClientApi {
     /// Name of the instance.
     pub instance: name::Name,
     /// Its availability zone.
     pub zone: name::Name,
-    /// The control thread.
+    /// Handle on the control thread.
     pub control: control::Control,
-    /// Threads that read and write JSON.
+    /// Threads that parse and serialize JSON.
     pub pool: sync::Arc<pool::Pool>,
-    /// Where spans go.
+    /// Recorder of spans.
     pub spans: span::Spans,
 }
 
-impl http::Handler for Client {
+impl http::Handler for ClientApi {
     fn handle(&self, request: Request, responder: Responder) {
-        let client = self.clone();
-        self.pool.run(move || client.route(&request, responder));
+        let api = self.clone();
+        self.pool.run(move || api.route(&request, responder));
     }
 
     fn fault(&self, fault: http::Fault) -> Response {
@@ -49,9 +49,9 @@
     }
 }
 
-/// A request on its way to its reply.
-struct Call {
-    client: Client,
+/// A request that waits for the reply of the control thread.
+struct Pending {
+    api: ClientApi,
     responder: Responder,
     name: &'static str,
     job: String,
@@ -61,7 +61,7 @@
     start: time::SystemTime,
 }
 
-impl Client {
+impl ClientApi {
     fn route(&self, request: &Request, responder: Responder) {
         let path = request.path.as_str();
         match (request.method.as_str(), path) {
@@ -77,16 +77,19 @@
                 } else if let Some(upstream) = path.strip_prefix("/v1/upstreams/") {
                     self.withdraw(method, upstream, responder);
                 } else {
-                    let known = matches!(path, "/v1/jobs" | "/v1/upstreams");
-                    responder.send(self.no_route(known));
+                    let known_path = matches!(path, "/v1/jobs" | "/v1/upstreams");
+                    responder.send(self.no_route(known_path));
                 }
             }
         }
     }
 
-    fn no_route(&self, known: bool) -> Response {
-        let (status, why) =
-            if known { (405, "the path takes no such method") } else { (404, "no such path") };
+    fn no_route(&self, known_path: bool) -> Response {
+        let (status, why) = if known_path {
+            (405, "the path does not support this method")
+        } else {
+            (404, "no such path")
+        };
         self.bad(status, "find route", why)
     }
 
@@ -94,19 +97,19 @@
         reply::bad(status, step, why, self.instance.as_str())
     }
 
-    fn call(
+    fn pending(
         &self,
         name: &'static str,
         request: &Request,
         responder: Responder,
         job: &str,
         raw: bool,
-    ) -> Call {
+    ) -> Pending {
         let parent: Option<trace::Context> =
             request.header("traceparent").and_then(|text| text.parse().ok());
         let context = parent.map_or_else(trace::Context::new, |parent| parent.child());
-        Call {
-            client: self.clone(),
+        Pending {
+            api: self.clone(),
             responder,
             name,
             job: job.to_owned(),
@@ -128,7 +131,7 @@
         };
         let payload =
             |task: &proto::json::Task<'_>| request.body.slice_ref(task.payload.get().as_bytes());
-        let call = self.call("submit", request, responder, &job.job, false);
+        let pending = self.pending("submit", request, responder, &job.job, false);
         let spec = message::Spec {
             job: id,
             service: name::Name::new(&job.service),
@@ -139,9 +142,9 @@
             tasks: job.tasks.iter().map(payload).collect(),
             content: name::Name::new("application/json"),
             raw: false,
-            trace: name::Name::new(&call.context.to_string()),
+            trace: name::Name::new(&pending.context.to_string()),
         };
-        call.ask(|ticket| Event::Submit(ticket, spec));
+        pending.ask(|ticket| Event::Submit(ticket, spec));
     }
 
     fn job(&self, method: &str, text: &str, request: &Request, responder: Responder) {
@@ -151,12 +154,12 @@
         };
         match method {
             "GET" => {
-                let call = self.call("show", request, responder, text, false);
-                call.ask(|ticket| Event::Show(ticket, id));
+                let pending = self.pending("show", request, responder, text, false);
+                pending.ask(|ticket| Event::Show(ticket, id));
             }
             "DELETE" => {
-                let call = self.call("cancel", request, responder, text, false);
-                call.ask(|ticket| Event::Cancel(ticket, id));
+                let pending = self.pending("cancel", request, responder, text, false);
+                pending.ask(|ticket| Event::Cancel(ticket, id));
             }
             _ => responder.send(self.no_route(true)),
         }
@@ -170,9 +173,9 @@
             Ok(spec) => spec,
             Err(response) => return responder.send(*response),
         };
-        let call = self.call("request", request, responder, &spec.job.to_string(), true);
-        let spec = message::Spec { trace: name::Name::new(&call.context.to_string()), ..spec };
-        call.ask(|ticket| Event::Submit(ticket, spec));
+        let pending = self.pending("request", request, responder, &spec.job.to_string(), true);
+        let spec = message::Spec { trace: name::Name::new(&pending.context.to_string()), ..spec };
+        pending.ask(|ticket| Event::Submit(ticket, spec));
     }
 
     fn read_request(
@@ -233,8 +236,8 @@
             let why = format!("this instance is in zone {}", self.zone);
             return responder.send(self.bad(422, "take announcement", &why));
         }
-        let call = self.call("announce", request, responder, "", false);
-        call.ask(|ticket| Event::Announce(ticket, announce.upstream()));
+        let pending = self.pending("announce", request, responder, "", false);
+        pending.ask(|ticket| Event::Announce(ticket, announce.upstream()));
     }
 
     fn withdraw(&self, method: &str, upstream: &str, responder: Responder) {
@@ -242,35 +245,36 @@
             return responder.send(self.no_route(true));
         }
         if !name::Name::is_valid(upstream) {
-            return responder.send(self.bad(400, "read upstream", "not a name"));
+            return responder.send(self.bad(400, "read upstream", "not a valid name"));
         }
         let name = name::Name::new(upstream);
         let peer = self.instance.clone();
-        let done = move |_| responder.send(Response::json(200, "{}"));
-        if self.control.ask(|ticket| Event::Withdraw(ticket, name), Box::new(done)).is_err() {
-            // The responder went with the reply function; its client gets a 500.
+        let respond = move |_| responder.send(Response::json(200, "{}"));
+        if self.control.ask(|ticket| Event::Withdraw(ticket, name), Box::new(respond)).is_err() {
+            // The responder was moved into the reply function, which has been dropped, so the
+            // client receives status 500.
             drop(reply::overwhelmed(peer.as_str()));
         }
     }
 }
 
-impl Call {
+impl Pending {
     fn ask(self, event: impl FnOnce(Ticket) -> Event) {
-        let control = self.client.control.clone();
-        let pool = sync::Arc::clone(&self.client.pool);
+        let control = self.api.control.clone();
+        let pool = sync::Arc::clone(&self.api.pool);
         let respond: control::ReplyFn = Box::new(move |reply| {
             pool.run(move || self.finish(&reply));
         });
         if let Err(respond) = control.ask(event, respond) {
             const RETRY_MS: u64 = 200;
             let kind = message::Refusal::Overload;
-            let why = "the instance has too much to do";
+            let why = "the instance is overloaded";
             respond(Reply::Verdict(message::Verdict::refuse(kind, why, RETRY_MS)));
         }
     }
 
     fn finish(self, reply: &Reply) {
-        let peer = self.client.instance.as_str();
+        let peer = self.api.instance.as_str();
         let response = match reply {
             Reply::Verdict(verdict) => reply::verdict(verdict, &self.job, self.raw, peer),
             Reply::Cancelled => {
@@ -283,7 +287,7 @@
             }
             Reply::Withdrawn | Reply::Changed(_) | Reply::Untold(_) => Response::json(200, "{}"),
         };
-        self.client.spans.record(span::Span {
+        self.api.spans.record(span::Span {
             context: self.context,
             parent: self.parent,
             name: self.name,
@@ -296,7 +300,7 @@
     }
 }
 
-/// Whether the instance can serve, as `/readyz` tells it.
+/// The response of `/readyz`: whether the instance can serve.
 pub fn readiness(control: &control::Control) -> Response {
     if control.view().is_ready() {
         Response::text(200, "ready\n")
--- a/crates/apricotroute/src/control.rs
+++ b/crates/apricotroute/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: it alone owns the core. Everybody else talks to it through a bounded
-//! channel and hears of state through a [`View`].
+//! The control thread, which alone owns the core. Other threads send it inputs through a bounded
+//! channel and read its state from a [`View`].
 
 use std::{collections, sync, sync::atomic, thread, time};
 
@@ -14,16 +14,16 @@
 
 use crate::{clock, store};
 
-/// Inputs that wait for the control thread at most.
-const INPUTS: usize = 65_536;
-/// Inputs taken before outputs are sent.
-const BATCH: usize = 512;
-/// Between two looks at what is worth a log line.
-const LOOK: time::Duration = time::Duration::from_millis(200);
-/// Most calls to upstreams at a time.
+/// Most inputs that wait for the control thread.
+const QUEUE_CAPACITY: usize = 65_536;
+/// Most further inputs that are handled before outputs are sent.
+const MAX_BATCH: usize = 512;
+/// Shortest interval between checks for state changes to log.
+const LOG_INTERVAL: time::Duration = time::Duration::from_millis(200);
+/// Most concurrent calls to upstreams.
 pub const MAX_CALLS: usize = 2_048;
 
-/// Takes the reply to a ticket. It runs on the control thread and must not block.
+/// A callback for the reply to a ticket. It runs on the control thread and must not block.
 pub type ReplyFn = Box<dyn FnOnce(Reply) + Send>;
 type Inspect = Box<dyn FnOnce(&core::Core, Now) + Send>;
 
@@ -33,7 +33,7 @@
     Inspect(Inspect),
 }
 
-/// What other threads may read without asking.
+/// State that the control thread publishes for other threads.
 #[derive(Debug, Default)]
 pub struct View {
     tree: sync::RwLock<sync::Arc<tree::Tree>>,
@@ -42,7 +42,7 @@
 }
 
 impl View {
-    /// The settings tree in force here.
+    /// The settings tree in force at this instance.
     pub fn tree(&self) -> sync::Arc<tree::Tree> {
         match self.tree.read() {
             Ok(tree) => sync::Arc::clone(&tree),
@@ -55,14 +55,14 @@
         self.ready.load(atomic::Ordering::Relaxed)
     }
 
-    /// Whether everything in progress has ended after a drain.
+    /// Whether the instance drains and all work in progress has ended.
     pub fn is_drained(&self) -> bool {
         self.drained.load(atomic::Ordering::Relaxed)
     }
 
     fn set_tree(&self, tree: &tree::Tree) {
-        if let Ok(mut held) = self.tree.write() {
-            *held = sync::Arc::new(tree.clone());
+        if let Ok(mut current) = self.tree.write() {
+            *current = sync::Arc::new(tree.clone());
         }
     }
 }
@@ -76,12 +76,12 @@
     clock: clock::Clock,
 }
 
-/// What the control thread works with.
+/// Everything that the control thread is started with.
 #[derive(Debug)]
 pub struct Parts {
-    /// What the instance is.
+    /// Configuration of the core.
     pub config: config::Config,
-    /// What it had stored.
+    /// State of the settings group that was recovered from disk.
     pub recovered: group::Recovered,
     /// Streams to the other instances.
     pub outbox: peer::Outbox,
@@ -89,41 +89,41 @@
     pub store: Option<store::Store>,
     /// Threads for calls to upstreams.
     pub pool: sync::Arc<pool::Pool>,
-    /// Where spans go.
+    /// Recorder of spans.
     pub spans: span::Spans,
-    /// Where logs go.
+    /// Logger.
     pub log: slog::Logger,
 }
 
-/// The channel to a control thread that does not run yet.
+/// The receiving half of the channel to a control thread that has not been started.
 #[derive(Debug)]
 pub struct Channel {
     receiver: crossbeam_channel::Receiver<Input>,
 }
 
 impl Control {
-    /// A handle and the channel that the thread is to be started with.
+    /// Creates a handle and the channel with which [`Control::start`] starts the thread.
     pub fn new(clock: clock::Clock) -> (Self, Channel) {
-        let (sender, receiver) = crossbeam_channel::bounded(INPUTS);
+        let (sender, receiver) = crossbeam_channel::bounded(QUEUE_CAPACITY);
         let (tickets, view) = (sync::Arc::default(), sync::Arc::default());
         (Self { sender, tickets, view, clock }, Channel { receiver })
     }
 
-    /// Starts the thread.
+    /// Starts the control thread.
     pub fn start(&self, channel: Channel, parts: Parts) {
         let control = self.clone();
         let run = move || Thread::new(control, channel, parts).run();
         if let Err(e) = thread::Builder::new().name("control".to_owned()).spawn(run) {
-            eprintln!("control: no thread: {e}");
+            eprintln!("control: cannot start the thread: {e}");
         }
     }
 
-    /// What may be read without asking.
+    /// The state that other threads read without a request to the control thread.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Asks for something; gives the reply function back if the control thread is overwhelmed.
+    /// Sends a request; returns the reply function if the queue of the control thread is full.
     pub fn ask(
         &self,
         event: impl FnOnce(event::Ticket) -> Event,
@@ -139,27 +139,28 @@
         }
     }
 
-    /// Tells of something; false if the control thread is overwhelmed.
-    pub fn offer(&self, event: Event) -> bool {
+    /// Sends an event; returns `false` if the queue of the control thread is full.
+    pub fn try_send(&self, event: Event) -> bool {
         self.sender.try_send(Input::Event(event)).is_ok()
     }
 
-    /// Tells of something that must not be lost; waits if the control thread is overwhelmed.
-    pub fn tell(&self, event: Event) {
+    /// Sends an event that must not be lost; blocks while the queue of the control thread is full.
+    pub fn send(&self, event: Event) {
         // The channel is open as long as the process runs.
         drop(self.sender.send(Input::Event(event)));
     }
 
-    /// Runs `read` on the core and waits for what it gives.
+    /// Runs `read` with the core on the control thread and waits for its result. Returns `None` if
+    /// the queue is full or the result does not arrive in time.
     pub fn inspect<T: Send + 'static>(
         &self,
         read: impl FnOnce(&core::Core, Now) -> T + Send + 'static,
     ) -> Option<T> {
-        const PATIENCE: time::Duration = time::Duration::from_secs(2);
+        const TIMEOUT: time::Duration = time::Duration::from_secs(2);
         let (sender, receiver) = crossbeam_channel::bounded(1);
         let inspect: Inspect = Box::new(move |core, now| drop(sender.send(read(core, now))));
         self.sender.try_send(Input::Inspect(inspect)).ok()?;
-        receiver.recv_timeout(PATIENCE).ok()
+        receiver.recv_timeout(TIMEOUT).ok()
     }
 }
 
@@ -168,7 +169,7 @@
         let Ok(body) = postcard::from_bytes::<message::Body>(&body) else {
             return false;
         };
-        self.control.offer(Event::Peer(from.clone(), body));
+        self.control.try_send(Event::Peer(from.clone(), body));
         true
     }
 
@@ -177,12 +178,12 @@
     }
 }
 
-/// Hands messages of other instances to the control thread.
+/// Forwards messages from other instances to the control thread.
 #[derive(Debug)]
 pub struct Inbox {
-    /// The control thread.
+    /// Handle on the control thread.
     pub control: Control,
-    /// The other instances.
+    /// Names of the other instances.
     pub known: collections::BTreeSet<name::Name>,
 }
 
@@ -198,15 +199,15 @@
     pool: sync::Arc<pool::Pool>,
     caller: task::Caller,
     spans: span::Spans,
-    hops: collections::HashMap<(name::Name, u64), span::Span>,
+    forward_spans: collections::HashMap<(name::Name, u64), span::Span>,
     log: slog::Logger,
-    seen: Seen,
-    looked: time::Instant,
+    logged: Logged,
+    checked_at: time::Instant,
 }
 
-/// What was logged last.
+/// State as of the last log lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Seen {
+struct Logged {
     ready: bool,
     members: String,
     journal: String,
@@ -221,7 +222,7 @@
         let core = core::Core::new(parts.config, parts.recovered, now);
         control.view.set_tree(core.tree());
         let report = control.clone();
-        let saved = move |number| report.tell(Event::Saved(number));
+        let saved = move |number| report.send(Event::Saved(number));
         let store = parts.store.map(|store| store.run(parts.log.clone(), saved));
         Self {
             control,
@@ -235,48 +236,48 @@
             pool: parts.pool,
             caller: task::Caller::new(),
             spans: parts.spans,
-            hops: collections::HashMap::new(),
+            forward_spans: collections::HashMap::new(),
             log: parts.log,
-            seen: Seen::default(),
-            looked: time::Instant::now(),
+            logged: Logged::default(),
+            checked_at: time::Instant::now(),
         }
     }
 
     fn run(mut self) {
         const TICK: time::Duration = time::Duration::from_micros(core::TICK);
-        let mut tick = time::Instant::now();
+        let mut tick_due = time::Instant::now();
         loop {
-            let wait = tick.saturating_duration_since(time::Instant::now());
+            let wait = tick_due.saturating_duration_since(time::Instant::now());
             match self.receiver.recv_timeout(wait) {
                 Ok(input) => {
-                    self.take(input);
-                    for _ in 0..BATCH {
+                    self.handle_input(input);
+                    for _ in 0..MAX_BATCH {
                         let Ok(input) = self.receiver.try_recv() else {
                             break;
                         };
-                        self.take(input);
+                        self.handle_input(input);
                     }
                 }
                 Err(crossbeam_channel::RecvTimeoutError::Timeout) => {}
                 Err(crossbeam_channel::RecvTimeoutError::Disconnected) => return,
             }
-            if time::Instant::now() >= tick {
-                tick = time::Instant::now() + TICK;
-                self.take(Input::Event(Event::Tick));
-                self.observe();
+            if time::Instant::now() >= tick_due {
+                tick_due = time::Instant::now() + TICK;
+                self.handle_input(Input::Event(Event::Tick));
+                self.publish();
             }
             self.flush();
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.control.clock.now();
         let event = match input {
             Input::Event(mut event) => {
                 if let Event::Peer(from, message::Body::Job(message::Job::Forward { call, spec })) =
                     &mut event
                 {
-                    self.begin_hop(&from.clone(), *call, spec);
+                    self.begin_forward_span(&from.clone(), *call, spec);
                 }
                 event
             }
@@ -287,19 +288,19 @@
             Input::Inspect(inspect) => return inspect(&self.core, now),
         };
         for output in self.core.handle(event, now) {
-            self.put(output);
+            self.handle_output(output);
         }
     }
 
-    fn put(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Send(to, body) => self.send(to, &body),
             Output::Save(number, save) => self.saves.push((number, save)),
             Output::Start(start) => self.start(start),
             Output::Stop(stop) => self.stop(stop),
             Output::Reply(ticket, reply) => {
-                if let Some(waiting) = self.replies.remove(&ticket) {
-                    waiting(reply);
+                if let Some(reply_fn) = self.replies.remove(&ticket) {
+                    reply_fn(reply);
                 }
             }
             Output::Settings => self.control.view.set_tree(self.core.tree()),
@@ -310,8 +311,8 @@
         }
     }
 
-    /// A submission came from another instance: the hop gets a span of its own.
-    fn begin_hop(&mut self, from: &name::Name, call: u64, spec: &mut message::Spec) {
+    /// Starts a span for a submission that another instance forwarded to this one.
+    fn begin_forward_span(&mut self, from: &name::Name, call: u64, spec: &mut message::Spec) {
         let parent = spec.trace.as_str().parse::<trace::Context>().ok();
         let context = parent.map_or_else(trace::Context::new, |parent| parent.child());
         spec.trace = name::Name::new(&context.to_string());
@@ -323,12 +324,12 @@
             start: time::SystemTime::now(),
             notes: vec![("job", spec.job.to_string()), ("from", from.to_string())],
         };
-        self.hops.insert((from.clone(), call), span);
+        self.forward_spans.insert((from.clone(), call), span);
     }
 
     fn send(&mut self, to: name::Name, body: &message::Body) {
         if let message::Body::Job(message::Job::Verdict { call, .. }) = body
-            && let Some(span) = self.hops.remove(&(to.clone(), *call))
+            && let Some(span) = self.forward_spans.remove(&(to.clone(), *call))
         {
             self.spans.record(span);
         }
@@ -344,7 +345,8 @@
         if !self.saves.is_empty() {
             let saves = std::mem::take(&mut self.saves);
             if let Some(store) = &self.store {
-                // A store that stopped is never heard of again, which is what its voter needs.
+                // Sending fails once the store thread has ended after a failed write. Nothing is
+                // confirmed from then on, as its voter requires.
                 drop(store.send(store::Write::Saves(saves)));
             }
         }
@@ -355,7 +357,7 @@
         let spans = self.spans.clone();
         self.pool.run(move || {
             let done = call(&caller, &spans, control.clock, start);
-            control.tell(Event::Done(done));
+            control.send(Event::Done(done));
         });
     }
 
@@ -364,15 +366,15 @@
         self.pool.run(move || caller.stop(stop.address.as_str(), &task_id(&stop.task)));
     }
 
-    /// Publishes and logs what has changed.
-    fn observe(&mut self) {
+    /// Publishes readiness and logs changes of the state.
+    fn publish(&mut self) {
         let ready = self.core.is_ready();
         self.control.view.ready.store(ready, atomic::Ordering::Relaxed);
-        if self.looked.elapsed() < LOOK {
+        if self.checked_at.elapsed() < LOG_INTERVAL {
             return;
         }
-        self.looked = time::Instant::now();
-        let seen = Seen {
+        self.checked_at = time::Instant::now();
+        let current = Logged {
             ready,
             members: self.core.members().join(" "),
             journal: self.core.journal_leader(),
@@ -380,33 +382,33 @@
             ejections: self.core.fleet().ejections(),
             expelled: self.core.counts().expelled,
         };
-        if seen == self.seen {
+        if current == self.logged {
             return;
         }
-        let former = std::mem::replace(&mut self.seen, seen);
-        let seen = &self.seen;
-        if former.ready != seen.ready {
-            slog::info!(self.log, "control: Readiness changed."; "ready" => seen.ready);
+        let former = std::mem::replace(&mut self.logged, current);
+        let current = &self.logged;
+        if former.ready != current.ready {
+            slog::info!(self.log, "control: Readiness changed."; "ready" => current.ready);
         }
-        if former.members != seen.members {
-            slog::info!(self.log, "journal: Members changed."; "members" => &seen.members);
+        if former.members != current.members {
+            slog::info!(self.log, "journal: Members changed."; "members" => &current.members);
         }
-        if former.journal != seen.journal {
-            slog::info!(self.log, "journal: Leader changed."; "leader" => &seen.journal);
+        if former.journal != current.journal {
+            slog::info!(self.log, "journal: Leader changed."; "leader" => &current.journal);
         }
-        if former.settings != seen.settings {
-            slog::info!(self.log, "settings: Leader changed."; "leader" => &seen.settings);
+        if former.settings != current.settings {
+            slog::info!(self.log, "settings: Leader changed."; "leader" => &current.settings);
         }
-        if former.expelled < seen.expelled {
+        if former.expelled < current.expelled {
             slog::warn!(self.log, "journal: Expelled a silent instance.");
         }
-        if former.ejections < seen.ejections {
-            slog::warn!(self.log, "upstreams: Ejected one that fails what it starts.");
+        if former.ejections < current.ejections {
+            slog::warn!(self.log, "upstreams: Ejected an upstream that fails the tasks it starts.");
         }
     }
 }
 
-/// Calls an upstream, unless the lease is over by now.
+/// Calls an upstream, unless the lease or the deadline of the task has passed.
 fn call(
     caller: &task::Caller,
     spans: &span::Spans,
@@ -416,7 +418,7 @@
     let began = time::SystemTime::now();
     let parent = start.trace.as_str().parse::<trace::Context>().ok();
     let context = parent.map_or_else(trace::Context::new, |parent| parent.child());
-    let now = clock.mono();
+    let now = clock.micros();
     let left = time::Duration::from_micros(start.deadline.saturating_sub(now));
     let finish = if now >= start.lease || left.is_zero() {
         event::Finish::Unsent
@@ -441,15 +443,16 @@
         notes: vec![
             ("task", task_id(&start.task)),
             ("upstream", start.upstream.to_string()),
-            ("end", end_name(&finish).to_owned()),
+            ("end", finish_label(&finish).to_owned()),
         ],
     });
-    let took = clock.mono() - now;
+    let took = clock.micros() - now;
     let (task, attempt, upstream) = (start.task, start.attempt, start.upstream);
     event::Done { task, attempt, upstream, took, finish }
 }
 
-/// The end of a lease that has not ended at `now`; nothing where none is needed.
+/// The end of a lease that is still valid at `now`; `None` for a task that needs no lease, whose
+/// end is too far in the future to represent.
 fn lease_end(lease: u64, now: u64) -> Option<time::Instant> {
     time::Instant::now().checked_add(time::Duration::from_micros(lease - now))
 }
@@ -467,7 +470,7 @@
     }
 }
 
-fn end_name(finish: &event::Finish) -> &'static str {
+fn finish_label(finish: &event::Finish) -> &'static str {
     match finish {
         event::Finish::Answer(_) => "answer",
         event::Finish::Full => "full",
@@ -477,7 +480,7 @@
     }
 }
 
-/// `JOB/INDEX`.
+/// The id of a task on the wire, `JOB/INDEX`.
 pub fn task_id(task: &queue::Task) -> String {
     format!("{}/{}", task.job, task.index)
 }
--- a/crates/apricotroute/src/error.rs
+++ b/crates/apricotroute/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors of the command, with the step and the peer at which they arose.
+//! Errors of the command, with the step and the peer at which they occurred.
 
 use std::fmt;
 
-/// A failure of the command. Causes are attached by `error-stack`.
+/// A failure of the command. An [`error_stack::Report`] carries its causes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     step: &'static str,
@@ -10,7 +10,7 @@
 }
 
 impl Error {
-    /// A failure of `step` at `peer`: an instance, an address or a file.
+    /// Creates an error of `step` at `peer`, which is an instance, an address or a file.
     pub fn new(step: &'static str, peer: impl fmt::Display) -> Self {
         Self { step, peer: peer.to_string() }
     }
@@ -24,14 +24,14 @@
 
 impl std::error::Error for Error {}
 
-/// A result with a report of its causes.
+/// A result whose error is a report with its causes.
 pub type Result<T> = std::result::Result<T, error_stack::Report<Error>>;
 
-/// One line for the standard error: the failure and its innermost cause.
+/// Formats a report as one line for the standard error: the failure and all its causes.
 pub fn line(report: &error_stack::Report<Error>) -> String {
-    let cause = report.frames().filter_map(|frame| match frame.kind() {
+    let causes = report.frames().filter_map(|frame| match frame.kind() {
         error_stack::FrameKind::Context(context) => Some(context.to_string()),
         error_stack::FrameKind::Attachment(_) => None,
     });
-    cause.collect::<Vec<_>>().join(": ").replace('\n', " ")
+    causes.collect::<Vec<_>>().join(": ").replace('\n', " ")
 }
--- a/crates/apricotroute/src/instance.rs
+++ b/crates/apricotroute/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: listeners, streams, the control thread and their end.
+//! A running instance: its listeners, streams and control thread, and its shutdown.
 
 use std::{collections, sync, thread, time};
 
@@ -9,10 +9,10 @@
 
 use crate::{client, clock, control, error, operator, status, store};
 
-/// Threads of the runtime under the listeners and streams.
+/// Threads of the runtime that runs the listeners and streams.
 const RUNTIME_THREADS: usize = 2;
-/// Most threads that read and write JSON.
-const MAX_READERS: usize = 32;
+/// Most threads that parse and serialize JSON.
+const MAX_JSON_THREADS: usize = 32;
 
 /// A running instance.
 #[derive(Debug)]
@@ -23,26 +23,26 @@
     operator: http::Listener,
     spans: span::Spans,
     log: slog::Logger,
-    drain: time::Duration,
+    drain_limit: time::Duration,
 }
 
 impl Instance {
     /// Starts an instance.
     pub fn start(boot: &boot::Boot, log: slog::Logger) -> error::Result<Self> {
-        let fault = |step| move || error::Error::new(step, &boot.instance);
+        let context = |step| move || error::Error::new(step, &boot.instance);
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(RUNTIME_THREADS)
             .thread_name("traffic")
             .enable_all()
             .build()
-            .change_context_lazy(fault("start runtime of"))?;
-        let spans = open_spans(boot, &runtime).change_context_lazy(fault("open spans of"))?;
+            .change_context_lazy(context("start runtime of"))?;
+        let spans = open_spans(boot, &runtime).change_context_lazy(context("open spans of"))?;
         let control = start_control(boot, &runtime, &spans, &log)?;
         if let Ok(metrics) = metric::Metrics::new() {
             status::watch(metric::install(metrics), &control);
         }
-        let pool = sync::Arc::new(pool::Pool::new("reader", MAX_READERS));
-        let client = client::Client {
+        let pool = sync::Arc::new(pool::Pool::new("reader", MAX_JSON_THREADS));
+        let client = client::ClientApi {
             instance: boot.instance.clone(),
             zone: boot.zone.clone(),
             control: control.clone(),
@@ -52,47 +52,48 @@
         let instance = boot.instance.clone();
         let operator = operator::Operator { instance, control: control.clone(), pool };
         let client = http::Listener::open(&runtime, boot.client, sync::Arc::new(client))
-            .change_context_lazy(fault("start"))?;
+            .change_context_lazy(context("start"))?;
         let operator = http::Listener::open(&runtime, boot.operator, sync::Arc::new(operator))
-            .change_context_lazy(fault("start"))?;
+            .change_context_lazy(context("start"))?;
         slog::info!(log, "instance: Started.";
             "client" => %client.address(), "operator" => %operator.address());
-        let drain = time::Duration::from_millis(boot.drain_ms);
-        Ok(Self { runtime, control, client, operator, spans, log, drain })
+        let drain_limit = time::Duration::from_millis(boot.drain_ms);
+        Ok(Self { runtime, control, client, operator, spans, log, drain_limit })
     }
 
-    /// Where clients and upstreams reach it.
+    /// Address of the interface for clients and upstreams.
     pub fn client(&self) -> std::net::SocketAddr {
         self.client.address()
     }
 
-    /// Where operators reach it.
+    /// Address of the interface for operators.
     pub fn operator(&self) -> std::net::SocketAddr {
         self.operator.address()
     }
 
-    /// Ends gracefully: everything in progress is finished and answered first.
+    /// Shuts down gracefully: finishes and answers all work in progress first, within the drain
+    /// limit.
     pub fn stop(self) {
-        const STEP: time::Duration = time::Duration::from_millis(10);
-        const FAREWELL: time::Duration = time::Duration::from_secs(2);
+        const POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
+        const CLOSE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
         slog::info!(self.log, "instance: Draining.");
-        self.control.tell(Event::Drain);
-        let until = time::Instant::now() + self.drain;
-        while !self.control.view().is_drained() && time::Instant::now() < until {
-            thread::sleep(STEP);
+        self.control.send(Event::Drain);
+        let deadline = time::Instant::now() + self.drain_limit;
+        while !self.control.view().is_drained() && time::Instant::now() < deadline {
+            thread::sleep(POLL_INTERVAL);
         }
         if !self.control.view().is_drained() {
-            let cut = self.control.inspect(|core, _| core.in_progress()).unwrap_or_default();
-            slog::warn!(self.log, "instance: Drain bound reached."; "cut" => cut.join(" "));
+            let unfinished = self.control.inspect(|core, _| core.in_progress()).unwrap_or_default();
+            slog::warn!(self.log, "instance: Drain bound reached."; "cut" => unfinished.join(" "));
         }
         self.client.close();
         self.operator.close();
-        let until = time::Instant::now() + FAREWELL;
-        while self.client.connections() > 0 && time::Instant::now() < until {
-            thread::sleep(STEP);
+        let deadline = time::Instant::now() + CLOSE_TIMEOUT;
+        while self.client.connections() > 0 && time::Instant::now() < deadline {
+            thread::sleep(POLL_INTERVAL);
         }
-        // Let the last messages to the other instances leave.
-        thread::sleep(STEP * 5);
+        // Gives the last messages to the other instances time to be sent.
+        thread::sleep(POLL_INTERVAL * 5);
         self.spans.flush();
         slog::info!(self.log, "instance: Stopped.");
         self.runtime.shutdown_background();
@@ -103,7 +104,7 @@
     boot: &boot::Boot,
     runtime: &tokio::runtime::Runtime,
 ) -> Result<span::Spans, link::Error> {
-    let _inside = runtime.enter();
+    let _guard = runtime.enter();
     let (file, otlp) = (boot.traces.file.as_deref(), boot.traces.otlp.as_deref());
     span::Spans::open(file, otlp, boot.instance.as_str())
 }
@@ -115,8 +116,8 @@
     spans: &span::Spans,
     log: &slog::Logger,
 ) -> error::Result<control::Control> {
-    let life = u64::from(rand::random::<u32>().max(1));
-    let store = open_store(boot, life, log)?;
+    let incarnation = u64::from(rand::random::<u32>().max(1));
+    let store = open_store(boot, incarnation, log)?;
     let (control, channel) = control::Control::new(clock::Clock::new());
     let known = boot.peers.iter().map(|peer| peer.instance.clone()).collect();
     let inbox = sync::Arc::new(control::Inbox { control: control.clone(), known });
@@ -127,7 +128,7 @@
         outbox = outbox.with_peer(runtime, &boot.instance, &peer.instance, peer.peer);
     }
     let parts = control::Parts {
-        config: config(boot, life, store.as_ref()),
+        config: config(boot, incarnation, store.as_ref()),
         recovered: store.as_ref().map(store::Store::recovered).unwrap_or_default(),
         outbox,
         store,
@@ -141,21 +142,25 @@
 
 fn open_store(
     boot: &boot::Boot,
-    life: u64,
+    incarnation: u64,
     log: &slog::Logger,
 ) -> error::Result<Option<store::Store>> {
     let Some(folder) = &boot.folder else {
         return Ok(None);
     };
-    let store = store::Store::open(folder, &boot.instance, life)?;
-    if store.torn > 0 {
-        slog::warn!(log, "store: Cut an unfinished write."; "bytes" => store.torn);
+    let store = store::Store::open(folder, &boot.instance, incarnation)?;
+    if store.truncated > 0 {
+        slog::warn!(log, "store: Cut an unfinished write."; "bytes" => store.truncated);
     }
-    slog::info!(log, "store: Opened."; "life" => store.life, "entries" => store.entries());
+    slog::info!(log, "store: Opened."; "life" => store.incarnation, "entries" => store.entries());
     Ok(Some(store))
 }
 
-fn config(boot: &boot::Boot, life: u64, store: Option<&store::Store>) -> coord::config::Config {
+fn config(
+    boot: &boot::Boot,
+    incarnation: u64,
+    store: Option<&store::Store>,
+) -> coord::config::Config {
     let me = member::Instance {
         name: boot.instance.clone(),
         zone: boot.zone.clone(),
@@ -167,7 +172,7 @@
         disk: peer.disk,
     });
     let all: collections::BTreeSet<_> = peers.chain([me.clone()]).collect();
-    let disk = store.map(|store| store.life);
+    let disk = store.map(|store| store.incarnation);
     let (all, trial, seed) = (all.into_iter().collect(), boot.trial, rand::random());
-    coord::config::Config { me, life, disk, all, trial, seed }
+    coord::config::Config { me, life: incarnation, disk, all, trial, seed }
 }
--- a/crates/apricotroute/src/log_file.rs
+++ b/crates/apricotroute/src/log_file.rs
@@ -1,4 +1,4 @@
-//! Logs of several processes, read as one.
+//! Logs of several processes, merged by time.
 
 use std::{collections, fs, io, io::BufRead as _, path};
 
@@ -7,26 +7,26 @@
 
 use crate::{error, node::lines};
 
-/// A line of a log.
+/// A line of a structured log.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Line {
-    /// When it was written, by the clock of its machine.
+    /// When it was written, according to the clock of that machine.
     pub ts: chrono::DateTime<chrono::Utc>,
-    /// Who wrote it.
+    /// The instance that wrote it.
     pub instance: String,
-    /// What happened.
+    /// Message text, which names the event.
     pub msg: String,
-    /// What it happened to, and why.
+    /// All other keys, such as the subject of the event and its reason.
     #[serde(flatten)]
     pub fields: collections::BTreeMap<String, serde_json::Value>,
 }
 
-/// All lines, in order of time.
+/// The merged lines of several log files, ordered by time.
 #[derive(Clone, Debug)]
 pub struct Log {
-    /// The lines.
+    /// Lines, ordered by time.
     pub lines: Vec<Line>,
-    /// Lines of files that could not be read as lines of a log.
+    /// Number of lines that could not be parsed.
     pub unread: usize,
 }
 
@@ -39,14 +39,14 @@
     pub fn read(files: &[path::PathBuf]) -> error::Result<Self> {
         let mut log = Self { lines: Vec::new(), unread: 0 };
         for file in files {
-            let fault = || error::Error::new("read log", file.display());
+            let context = || error::Error::new("read log", file.display());
             let reader: Box<dyn io::Read> = if file.as_os_str() == "-" {
                 Box::new(io::stdin())
             } else {
-                Box::new(fs::File::open(file).change_context_lazy(fault)?)
+                Box::new(fs::File::open(file).change_context_lazy(context)?)
             };
             for line in io::BufReader::new(reader).lines() {
-                match parse(&line.change_context_lazy(fault)?) {
+                match parse(&line.change_context_lazy(context)?) {
                     Some(line) => log.lines.push(line),
                     None => log.unread += 1,
                 }
@@ -56,23 +56,23 @@
         Ok(log)
     }
 
-    /// Lines that the processes say they left out.
+    /// Number of lines that the processes report as left out.
     pub fn left_out(&self) -> u64 {
-        let told = self.lines.iter().filter(|line| line.msg == lines::LEFT_OUT);
-        told.filter_map(|line| line.fields.get("count")?.as_u64()).sum()
+        let reports = self.lines.iter().filter(|line| line.msg == lines::LEFT_OUT);
+        reports.filter_map(|line| line.fields.get("count")?.as_u64()).sum()
     }
 }
 
 impl Line {
-    /// The text of a field.
+    /// The value of a field, if it is a string.
     pub fn text(&self, key: &str) -> Option<&str> {
         self.fields.get(key)?.as_str()
     }
 
-    /// Whether it names a job or a request of `ids`.
+    /// Whether its `request` or `id` field is one of `ids`.
     pub fn is_about(&self, ids: &collections::BTreeSet<String>) -> bool {
-        let mut named = ["request", "id"].into_iter().filter_map(|key| self.text(key));
-        named.any(|text| ids.contains(text))
+        let mut line_ids = ["request", "id"].into_iter().filter_map(|key| self.text(key));
+        line_ids.any(|text| ids.contains(text))
     }
 }
 
--- a/crates/apricotroute/src/logs.rs
+++ b/crates/apricotroute/src/logs.rs
@@ -1,16 +1,17 @@
-//! Structured logs.
+//! Structured logging.
 
 use std::{io, sync::mpsc, thread, time};
 
 use slog::Drain as _;
 use state::boot;
 
-/// A logger to the standard error, and the guard that writes out the rest when dropped.
+/// Creates a logger to the standard error. Dropping the guard writes out the queued lines.
 pub fn logger(log: &boot::Log, instance: &str) -> (slog::Logger, slog_async::AsyncGuard) {
     logger_to(io::stderr(), log, instance)
 }
 
-/// A logger to `to`. Lines wait in a bounded queue; what finds it full is counted and left out.
+/// Creates a logger to `to`. Lines wait in a bounded queue; a line that finds it full is counted
+/// and dropped.
 pub fn logger_to(
     to: impl io::Write + Send + 'static,
     log: &boot::Log,
@@ -38,21 +39,21 @@
     (logger, guard)
 }
 
-/// Writes out the last lines, as far as somebody reads them: a blocked output must not keep the
-/// process from ending.
+/// Writes out the queued lines, but waits only for a limited time: an output that blocks because
+/// its reader has stopped reading must not keep the process from exiting.
 pub fn flush(guard: slog_async::AsyncGuard) {
-    const PATIENCE: time::Duration = time::Duration::from_millis(300);
+    const TIMEOUT: time::Duration = time::Duration::from_millis(300);
     let (done, wait) = mpsc::channel();
     thread::spawn(move || {
         drop(guard);
-        // Nobody waits any more once the time is over.
-        let _late = done.send(());
+        // The receiver is gone once the timeout has passed.
+        let _ignored = done.send(());
     });
-    // What is not written by then is lost with the process.
-    let _lost = wait.recv_timeout(PATIENCE);
+    // Lines that are not written by then are lost when the process exits.
+    let _ignored = wait.recv_timeout(TIMEOUT);
 }
 
-/// A logger that drops everything.
+/// Creates a logger that discards all lines.
 pub fn none() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
--- a/crates/apricotroute/src/node/control.rs
+++ b/crates/apricotroute/src/node/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: it alone owns the core. Everybody else talks to it through a channel and
-//! hears of state through a [`view`](super::view).
+//! The control thread, which alone owns the core. Other threads send it events through a mailbox
+//! and read its state from a [`view`](super::view).
 
 use std::{
     collections, sync,
@@ -22,61 +22,61 @@
 };
 use crate::store;
 
-/// Between two ticks: the time in which a silence, a hanging task or a lapsed lease is noticed
-/// late, against 0.1% of a core for each halving.
-const TICK: time::Duration = time::Duration::from_millis(40);
-/// Between two looks at how the instance stands, for its metrics.
-const LOOK: time::Duration = time::Duration::from_millis(500);
+/// Interval between ticks. A silent instance, a hanging task or an expired lease is detected up to
+/// one interval late; halving the interval costs another 0.1% of a core.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(40);
+/// Interval between updates of the status that the metrics show.
+const STATUS_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// A configuration that is not read after this counts as out of reach: its routes are not in force.
-/// An entry with 0.12 of a core was seen to take 160 ms for 4,200 routes.
-const READ: time::Duration = time::Duration::from_millis(600);
+/// A configuration that has not been decoded after this time counts as unavailable: the routes in
+/// force are then out of date. An entry with 0.12 of a core takes 160 ms for 4,200 routes.
+const READ_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// What the control thread works with.
+/// Everything that the control thread is started with.
 #[derive(Debug)]
 pub struct Parts {
-    /// What the instance is.
+    /// Configuration of the core.
     pub config: core::Config,
     /// The data folder, if there is one.
     pub store: Option<store::Store>,
-    /// The traffic thread.
+    /// Queue of the traffic thread.
     pub traffic: traffic::Sender,
-    /// Where logs go.
+    /// Logger.
     pub log: slog::Logger,
 }
 
 impl Control {
-    /// Starts the thread.
+    /// Starts the control thread.
     pub fn start(&self, parts: Parts) {
         let control = self.clone();
         let run = move || Thread::new(control, parts).run();
         if let Err(e) = thread::Builder::new().name("control".to_owned()).spawn(run) {
-            eprintln!("control: no thread: {e}");
+            eprintln!("control: cannot start the thread: {e}");
         }
     }
 }
 
-/// Somebody who waits for a reply.
-struct Waiting {
+/// A request that waits for its reply.
+struct Pending {
     reply: platform::ReplyFn,
     since: time::Instant,
-    /// Service of the job; none for other questions.
+    /// Service of the job; `none` for requests other than submissions.
     service: name::Name,
 }
 
 struct Thread {
     control: Control,
     core: core::Core,
-    replies: collections::HashMap<event::Ticket, Waiting>,
+    replies: collections::HashMap<event::Ticket, Pending>,
     batches: collections::BTreeMap<name::Name, Vec<bytes::Bytes>>,
     work: Vec<Work>,
     saves: store::Saves,
     store: Option<crossbeam_channel::Sender<store::Write>>,
     traffic: traffic::Sender,
     reader: mpsc::Sender<message::Document>,
-    /// Since when a configuration waits to be read.
-    unread: Option<time::Instant>,
-    lines: lines::Lines,
+    /// Since when a received configuration has been waiting for the reader thread.
+    unread_since: Option<time::Instant>,
+    limiter: lines::Limiter,
     log: slog::Logger,
 }
 
@@ -85,8 +85,9 @@
         let reader = reader::start(sync::Arc::clone(&control.view), parts.log.clone());
         let core = core::Core::new(parts.config, control.clock.now());
         let report = control.clone();
-        // Without this report the group stands still until the next store.
-        let saved = move |number| while !report.tell(Event::Saved(number)) {};
+        // Retries until the mailbox accepts the report: without it the settings group makes no
+        // progress until the next save.
+        let saved = move |number| while !report.send(Event::Saved(number)) {};
         let store = parts.store.map(|store| store.run(parts.log.clone(), saved));
         Self {
             control,
@@ -98,36 +99,36 @@
             store,
             traffic: parts.traffic,
             reader,
-            unread: None,
-            lines: lines::Lines::new(),
+            unread_since: None,
+            limiter: lines::Limiter::new(),
             log: parts.log,
         }
     }
 
     fn run(mut self) {
-        let mut tick = time::Instant::now();
-        let mut look = tick;
+        let mut tick_due = time::Instant::now();
+        let mut status_due = tick_due;
         loop {
-            let wait = tick.saturating_duration_since(time::Instant::now());
-            for input in self.control.mailbox.take(wait) {
-                self.take(input);
+            let wait = tick_due.saturating_duration_since(time::Instant::now());
+            for input in self.control.mailbox.receive(wait) {
+                self.handle_input(input);
             }
-            if time::Instant::now() >= tick {
-                tick = time::Instant::now() + TICK;
-                self.take(Input::Event(Event::Tick));
+            if time::Instant::now() >= tick_due {
+                tick_due = time::Instant::now() + TICK_INTERVAL;
+                self.handle_input(Input::Event(Event::Tick));
             }
-            if time::Instant::now() >= look {
-                look = time::Instant::now() + LOOK;
-                self.look();
+            if time::Instant::now() >= status_due {
+                status_due = time::Instant::now() + STATUS_INTERVAL;
+                self.update_status();
             }
             for output in self.core.settle(self.control.clock.now()) {
-                self.put(output);
+                self.handle_output(output);
             }
             self.flush();
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let event = match input {
             Input::Event(event) => event,
             Input::Ask(ticket, event, reply) => {
@@ -136,7 +137,7 @@
                     Event::Submit(_, job) => job.service.clone(),
                     _ => name::Name::new("none"),
                 };
-                self.replies.insert(ticket, Waiting { reply, since, service });
+                self.replies.insert(ticket, Pending { reply, since, service });
                 event
             }
         };
@@ -146,7 +147,7 @@
         self.core.tell(event, self.control.clock.now());
     }
 
-    fn put(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Send(to, body) => {
                 let bytes = coord::machine::encode(&body);
@@ -164,35 +165,36 @@
                 self.work.push(Work::Call(call));
             }
             Output::Reply(ticket, reply) => {
-                if let Some(waiting) = self.replies.remove(&ticket) {
-                    let took = waiting.since.elapsed();
-                    metric::note_reply(outcome(&reply), waiting.service.as_str(), took);
-                    (waiting.reply)(reply);
+                if let Some(pending) = self.replies.remove(&ticket) {
+                    let took = pending.since.elapsed();
+                    metric::note_reply(reply_label(&reply), pending.service.as_str(), took);
+                    (pending.reply)(reply);
                 }
             }
-            // The reader runs as long as the process does.
+            // The reader thread runs as long as the process does.
             Output::Document(document) => {
-                self.unread.get_or_insert_with(time::Instant::now);
+                self.unread_since.get_or_insert_with(time::Instant::now);
                 drop(self.reader.send(document));
             }
-            Output::Note(note) => self.lines.write(&self.log, &note),
+            Output::Note(note) => self.limiter.write(&self.log, &note),
             Output::Measure(measure) => note_measure(measure),
         }
     }
 
-    /// Tells the listeners whether the routes in force may still be gone by.
-    fn note_outdated(&self, outdated: bool) {
+    /// Publishes whether the routes in force are out of date, and logs each change of that.
+    fn publish_outdated(&self, outdated: bool) {
         if self.control.view.outdated.swap(outdated, atomic::Ordering::Relaxed) != outdated {
             let version = self.core.document().version;
             slog::warn!(self.log, "settings: Out of date."; "is" => outdated, "version" => version);
         }
     }
 
-    /// Takes down how the instance stands.
-    fn look(&self) {
+    /// Updates the status for the metrics, and logs the free cores and waiting tasks of each zone
+    /// that is scheduled here.
+    fn update_status(&self) {
         let status = self.core.status(self.control.clock.now());
-        if let Ok(mut held) = self.control.view.status.write() {
-            *held = status;
+        if let Ok(mut current) = self.control.view.status.write() {
+            *current = status;
         }
         for room in self.core.rooms(self.control.clock.now()) {
             let message::Load { free, total } = room.load;
@@ -203,12 +205,13 @@
 
     fn store(&self, write: store::Write) {
         if let Some(store) = &self.store {
-            // A store that stopped is never heard of again, which is what its voter needs.
+            // Sending fails once the store thread has ended after a failed write. Nothing is
+            // confirmed from then on, as its voter requires.
             drop(store.send(write));
         }
     }
 
-    /// Passes on what was decided, and shows how the instance stands now.
+    /// Passes the collected work and saves to their threads, and publishes the current state.
     fn flush(&mut self) {
         let batches = std::mem::take(&mut self.batches);
         self.work.extend(batches.into_iter().map(|(to, bodies)| Work::Send(to, bodies)));
@@ -220,22 +223,22 @@
             let saves = std::mem::take(&mut self.saves);
             self.store(store::Write::Saves(saves));
         }
-        self.show();
+        self.publish();
     }
 
-    /// Tells the listeners whether clients may be sent here.
-    fn show(&mut self) {
+    /// Publishes readiness, the number of open jobs and whether the routes are out of date.
+    fn publish(&mut self) {
         let (view, now) = (&self.control.view, self.control.clock.now());
-        let routed = view.routing().version;
-        let able = self.core.is_ready(now) && routed > 0;
-        let ready = able && !view.draining.load(atomic::Ordering::Relaxed);
+        let version = view.routing().version;
+        let serving = self.core.is_ready(now) && version > 0;
+        let ready = serving && !view.draining.load(atomic::Ordering::Relaxed);
         view.ready.store(ready, atomic::Ordering::Relaxed);
-        view.open.store(self.core.open(), atomic::Ordering::Relaxed);
-        if self.core.document().version <= routed {
-            self.unread = None;
+        view.open_jobs.store(self.core.open(), atomic::Ordering::Relaxed);
+        if self.core.document().version <= version {
+            self.unread_since = None;
         }
-        let unread = self.unread.is_some_and(|since| since.elapsed() >= READ);
-        self.note_outdated(unread || self.core.is_outdated(now));
+        let overdue = self.unread_since.is_some_and(|since| since.elapsed() >= READ_TIMEOUT);
+        self.publish_outdated(overdue || self.core.is_outdated(now));
     }
 }
 
@@ -253,8 +256,8 @@
     }
 }
 
-/// Short name of a reply, for counting.
-fn outcome(reply: &Reply) -> &'static str {
+/// The label of a reply in metrics.
+fn reply_label(reply: &Reply) -> &'static str {
     match reply {
         Reply::Verdict(job::Verdict::Complete) => "complete",
         Reply::Verdict(job::Verdict::Failed) => "failed",
--- a/crates/apricotroute/src/node/handle.rs
+++ b/crates/apricotroute/src/node/handle.rs
@@ -1,4 +1,4 @@
-//! The way to the control thread, for all other threads.
+//! The handle through which all other threads reach the control thread.
 
 use std::{sync, sync::atomic};
 
@@ -13,7 +13,7 @@
 use super::{mailbox, view::View};
 use crate::clock;
 
-/// What the control thread is handed.
+/// An input of the control thread.
 pub(super) enum Input {
     Event(Event),
     Ask(event::Ticket, Event, platform::ReplyFn),
@@ -29,42 +29,43 @@
 }
 
 impl Control {
-    /// A handle on a thread that does not run yet.
+    /// Creates a handle; [`Control::start`] starts the thread.
     pub fn new(clock: clock::Clock) -> Self {
         let mailbox = sync::Arc::new(mailbox::Mailbox::new());
         let (tickets, view) = (sync::Arc::default(), sync::Arc::default());
         Self { mailbox, tickets, view, clock }
     }
 
-    /// The clocks that decisions go by.
+    /// The clock that decisions use.
     pub fn clock(&self) -> clock::Clock {
         self.clock
     }
 
-    /// What may be read without asking.
+    /// The state that other threads read without a request to the control thread.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Tells of something; false if the control thread is overwhelmed.
-    pub fn tell(&self, event: Event) -> bool {
+    /// Sends an event; returns `false` if the mailbox is full.
+    pub fn send(&self, event: Event) -> bool {
         self.mailbox.push(Input::Event(event)).is_ok()
     }
 
-    /// Tells of something that may wait until the thread is awake, a tick at most: waking it for
-    /// each heartbeat and each start that went well takes a third of its time.
-    pub fn tell_later(&self, event: Event) -> bool {
-        self.mailbox.push_later(Input::Event(event)).is_ok()
+    /// Sends an event without waking the control thread, which takes it after one tick at most:
+    /// waking the thread for each heartbeat and each successful start takes a third of its time.
+    /// Returns `false` if the mailbox is full.
+    pub fn send_deferred(&self, event: Event) -> bool {
+        self.mailbox.push_deferred(Input::Event(event)).is_ok()
     }
 
-    /// Finish what is in progress: no new clients are to be sent here.
+    /// Starts draining: work in progress is finished, and clients are no longer sent here.
     pub fn drain(&self) {
         self.view.draining.store(true, atomic::Ordering::Relaxed);
         self.view.ready.store(false, atomic::Ordering::Relaxed);
-        while !self.tell(Event::Drain) {}
+        while !self.send(Event::Drain) {}
     }
 
-    /// Refuse new jobs from here on.
+    /// Refuses new jobs from now on.
     pub fn close(&self) {
         self.view.closed.store(true, atomic::Ordering::Relaxed);
     }
@@ -78,7 +79,7 @@
 }
 
 impl Backend {
-    /// Hands everything to the control thread.
+    /// Creates a backend that forwards all events to `control`.
     pub fn new(control: Control, log: slog::Logger) -> Self {
         Self { control, log }
     }
@@ -100,15 +101,15 @@
         if let Err(Input::Ask(_, _, reply)) =
             self.control.mailbox.push(Input::Ask(ticket, event, reply))
         {
-            slog::warn!(self.log, "control: Overwhelmed, refusing.");
+            slog::warn!(self.log, "control: Mailbox is full, a request is refused.");
             reply(Reply::Unavailable);
         }
         ticket
     }
 
     fn tell(&self, event: Event) {
-        if !self.control.tell(event) {
-            slog::warn!(self.log, "control: Overwhelmed, an event is lost.");
+        if !self.control.send(event) {
+            slog::warn!(self.log, "control: Mailbox is full, an event is dropped.");
         }
     }
 
@@ -138,14 +139,14 @@
     }
 }
 
-/// Hands messages of other instances to the control thread.
+/// Forwards messages from other instances to the control thread.
 #[derive(Debug)]
 pub struct Inbox {
     control: Control,
 }
 
 impl Inbox {
-    /// Hands everything to `control`.
+    /// Creates an inbox that forwards messages to `control`.
     pub fn new(control: Control) -> Self {
         Self { control }
     }
@@ -158,10 +159,10 @@
         };
         let urgent = !matches!(&body, message::Body::Ping(ping) if !ping.urgent);
         let event = Event::Peer(from.clone(), body);
-        if urgent { self.control.tell(event) } else { self.control.tell_later(event) }
+        if urgent { self.control.send(event) } else { self.control.send_deferred(event) }
     }
 
-    /// Instances come and go; who they are is told by their heartbeats.
+    /// Accepts every sender: instances join and leave, and heartbeats show which ones exist.
     fn knows(&self, _name: &name::Name) -> bool {
         true
     }
--- a/crates/apricotroute/src/node/lines.rs
+++ b/crates/apricotroute/src/node/lines.rs
@@ -1,49 +1,49 @@
-//! Log lines of decisions, so many of a kind a second.
+//! Log lines of decisions, with a rate limit for each kind of line.
 
 use std::{collections, time};
 
 use dispatch::event::Note;
 use link::metric;
 
-/// Lines of one kind within a second. An entry of today's deployments answers 20 jobs a second and
-/// a scheduler starts 170 tasks; a burst is five times that.
-const RATE: u32 = 400;
-/// What counts as a second.
-const SPAN: time::Duration = time::Duration::from_secs(1);
+/// Most lines of one kind per [`WINDOW`]. In current deployments an entry answers 20 jobs per
+/// second and a scheduler starts 170 tasks per second; a burst is five times that.
+const MAX_LINES: u32 = 400;
+/// Length of a window in which lines are counted.
+const WINDOW: time::Duration = time::Duration::from_secs(1);
 
-/// Line that says how many of a kind were left out, as `count`.
+/// Text of the line that reports, as `count`, how many lines of a kind were left out.
 pub const LEFT_OUT: &str = "log: Lines were left out.";
 
-/// How many lines of each kind were written.
+/// A rate limiter for log lines, by kind.
 #[derive(Debug)]
-pub struct Lines {
+pub struct Limiter {
     kinds: collections::HashMap<&'static str, Kind>,
 }
 
 #[derive(Debug)]
 struct Kind {
-    since: time::Instant,
+    window_start: time::Instant,
     written: u32,
     left_out: u64,
 }
 
-impl Lines {
-    /// Nothing was written.
+impl Limiter {
+    /// Creates a limiter that has counted no lines.
     pub fn new() -> Self {
         Self { kinds: collections::HashMap::new() }
     }
 
-    /// Writes a decision, unless there were too many of its kind; the next line of the kind tells
-    /// how many were left out.
+    /// Logs a decision unless the limit of its kind is reached. Before the next line of the kind,
+    /// one more line reports how many were left out.
     pub fn write(&mut self, log: &slog::Logger, note: &Note) {
         let now = time::Instant::now();
-        let fresh = Kind { since: now, written: 0, left_out: 0 };
+        let fresh = Kind { window_start: now, written: 0, left_out: 0 };
         let kind = self.kinds.entry(note.text).or_insert(fresh);
-        if now.duration_since(kind.since) >= SPAN {
-            kind.since = now;
+        if now.duration_since(kind.window_start) >= WINDOW {
+            kind.window_start = now;
             kind.written = 0;
         }
-        if kind.written >= RATE {
+        if kind.written >= MAX_LINES {
             kind.left_out += 1;
             metric::count_left_out(note.text);
             return;
--- a/crates/apricotroute/src/node/mailbox.rs
+++ b/crates/apricotroute/src/node/mailbox.rs
@@ -1,23 +1,23 @@
-//! What waits for the control thread.
+//! The input queue of the control thread.
 //!
-//! A channel of the usual kind spins before it sleeps, which costs a process with a twentieth of
-//! a core more than its work does: at rest, 300 of 420 system calls a second were yields. This
-//! one sleeps at once and takes everything that waits in one go.
+//! Common channels spin before they sleep. With a twentieth of a core that costs a process more
+//! than its work does: in an idle process, 300 of 420 system calls per second were yields. This
+//! queue sleeps at once, and its reader takes all waiting entries together.
 
 use std::{sync, time};
 
-/// Entries that wait at most.
-const BOUND: usize = 65_536;
+/// Most entries that wait in the queue.
+const CAPACITY: usize = 65_536;
 
 /// A bounded queue with one reader.
 pub struct Mailbox<T> {
     state: sync::Mutex<State<T>>,
-    bell: sync::Condvar,
+    condvar: sync::Condvar,
 }
 
 struct State<T> {
     entries: Vec<T>,
-    /// Whether something is there that should not wait.
+    /// Whether an entry waits for which the reader must be awake.
     urgent: bool,
     asleep: bool,
 }
@@ -29,25 +29,25 @@
 }
 
 impl<T> Mailbox<T> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         let state = State { entries: Vec::new(), urgent: false, asleep: false };
-        Self { state: sync::Mutex::new(state), bell: sync::Condvar::new() }
+        Self { state: sync::Mutex::new(state), condvar: sync::Condvar::new() }
     }
 
-    /// Adds an entry and wakes the reader; gives it back if the queue is full.
+    /// Adds an entry and wakes the reader; returns the entry if the queue is full.
     pub fn push(&self, entry: T) -> Result<(), T> {
         self.add(entry, true)
     }
 
-    /// Adds an entry that may wait until the reader is awake anyway.
-    pub fn push_later(&self, entry: T) -> Result<(), T> {
+    /// Adds an entry without waking the reader; returns the entry if the queue is full.
+    pub fn push_deferred(&self, entry: T) -> Result<(), T> {
         self.add(entry, false)
     }
 
     fn add(&self, entry: T, urgent: bool) -> Result<(), T> {
         let mut state = self.lock();
-        if state.entries.len() >= BOUND {
+        if state.entries.len() >= CAPACITY {
             return Err(entry);
         }
         state.entries.push(entry);
@@ -55,23 +55,23 @@
         let wake = urgent && std::mem::take(&mut state.asleep);
         drop(state);
         if wake {
-            self.bell.notify_one();
+            self.condvar.notify_one();
         }
         Ok(())
     }
 
-    /// Waits until something urgent is there or the time is over, and takes all that waits, in
-    /// the order in which it came.
-    pub fn take(&self, wait: time::Duration) -> Vec<T> {
-        let until = time::Instant::now() + wait;
+    /// Waits until an urgent entry arrives or `wait` has passed, and takes all entries in the
+    /// order in which they were added.
+    pub fn receive(&self, wait: time::Duration) -> Vec<T> {
+        let deadline = time::Instant::now() + wait;
         let mut state = self.lock();
         while !state.urgent {
-            let left = until.saturating_duration_since(time::Instant::now());
+            let left = deadline.saturating_duration_since(time::Instant::now());
             if left.is_zero() {
                 break;
             }
             state.asleep = true;
-            state = match self.bell.wait_timeout(state, left) {
+            state = match self.condvar.wait_timeout(state, left) {
                 Ok((state, _)) => state,
                 Err(poisoned) => poisoned.into_inner().0,
             };
--- a/crates/apricotroute/src/node/measure.rs
+++ b/crates/apricotroute/src/node/measure.rs
@@ -1,11 +1,12 @@
-//! The metrics of an instance that finds the others through seeds.
+//! The metrics of an instance that discovers the others through seeds.
 
 use dispatch::status::Status;
 use link::{http, metric};
 
 use super::handle;
 
-/// A gauge and where its value stands. Names have units but where they count things.
+/// The name of a gauge and the function that reads its value. Names carry a unit, except those of
+/// counts.
 type Gauge = (&'static str, fn(&Status) -> f64);
 
 const GAUGES: &[Gauge] = &[
@@ -33,16 +34,16 @@
     ("redials", |status| status.redials as f64),
 ];
 
-/// Shows the metrics of this process.
-pub struct Measures;
+/// Serves the metrics of this process over HTTP.
+pub struct MetricsHandler;
 
-impl Measures {
-    /// Installs the instruments and the gauges of `control`.
+impl MetricsHandler {
+    /// Installs the instruments and the gauges, which read the view of `control`.
     pub fn new(control: &handle::Control) -> Result<Self, link::Error> {
         let metrics = metric::install(metric::Metrics::new()?);
         for (name, read) in GAUGES {
             let control = control.clone();
-            // The provider keeps the gauge.
+            // The meter provider keeps the gauge.
             let _gauge = metrics
                 .watch(name, move || vec![(*name, Vec::new(), read(&control.view().status()))]);
         }
@@ -50,7 +51,7 @@
     }
 }
 
-impl http::Handler for Measures {
+impl http::Handler for MetricsHandler {
     fn handle(&self, request: http::Request, responder: http::Responder) {
         let text = metric::metrics().map(metric::Metrics::text).unwrap_or_default();
         let known = request.path == "/metrics";
@@ -58,6 +59,6 @@
     }
 
     fn fault(&self, _fault: http::Fault) -> http::Response {
-        http::Response::text(400, "cannot read the request\n")
+        http::Response::text(400, "cannot read the request body\n")
     }
 }
--- a/crates/apricotroute/src/node/mod.rs
+++ b/crates/apricotroute/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! An instance that finds the others through seeds and owns upstreams: listeners, streams, the
-//! control thread and their end.
+//! An instance that discovers the others through seeds and schedules upstreams: its listeners,
+//! streams and control thread, and its shutdown.
 
 mod control;
 mod handle;
@@ -21,18 +21,18 @@
 
 use crate::{clock, error, store};
 
-/// A lease is this share of the longest that upstreams grant, per cent: what is left covers the
-/// way there.
-const LEASE_SHARE: u64 = 95;
-/// An entry that shuts down takes clients this long: the balancer needs two misses of its
-/// question, one a second, to send them elsewhere.
-const LINGER: time::Duration = time::Duration::from_millis(2_600);
-/// A keeper stays this long, so that its successor has taken over.
-const HAND_OVER: time::Duration = time::Duration::from_millis(900);
-/// Time kept back from the grace for the last responses and log lines.
+/// Length of a lease, in per cent of the longest lease that upstreams grant. The rest covers the
+/// network delay to the upstream.
+const LEASE_PERCENT: u64 = 95;
+/// How long an entry still accepts clients during shutdown: the load balancer sends them elsewhere
+/// only after two failed readiness checks, at one check per second.
+const ENTRY_DELAY: time::Duration = time::Duration::from_millis(2_600);
+/// How long a keeper stays up during shutdown, so that its successor has taken over.
+const KEEPER_DELAY: time::Duration = time::Duration::from_millis(900);
+/// Part of the grace period that is reserved for the last responses and log lines.
 const RESERVE: time::Duration = time::Duration::from_millis(500);
 
-/// Runs an instance until it is told to end.
+/// Runs an instance until SIGTERM or SIGINT arrives; SIGHUP reloads the settings file.
 pub fn run(file: &path::Path, settings: &node::Node, log: &slog::Logger) -> error::Result<()> {
     let signals = [consts::SIGTERM, consts::SIGINT, consts::SIGHUP];
     let mut signals = iterator::Signals::new(signals)
@@ -43,7 +43,7 @@
         if signal != consts::SIGHUP {
             break;
         }
-        reload::again(file, settings, &node.control, log);
+        reload::reload(file, settings, &node.control, log);
     }
     node.stop();
     Ok(())
@@ -55,7 +55,8 @@
     settings: node::Node,
     runtime: sync::Arc<tokio::runtime::Runtime>,
     control: handle::Control,
-    /// Open until the end: the balancer sends clients for a while after it was told not to.
+    /// Kept open until the end: the load balancer still sends clients for a while after the
+    /// instance has ceased to be ready.
     _listeners: Vec<http::Listener>,
     log: slog::Logger,
 }
@@ -63,18 +64,18 @@
 impl Node {
     /// Starts an instance.
     pub fn start(settings: &node::Node, log: &slog::Logger) -> error::Result<Self> {
-        let fault = |step| move || error::Error::new(step, &settings.instance);
+        let context = |step| move || error::Error::new(step, &settings.instance);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .change_context_lazy(fault("start runtime of"))?;
+            .change_context_lazy(context("start runtime of"))?;
         let runtime = sync::Arc::new(runtime);
         let (traffic, work) = traffic::channel();
         let clock = clock::Clock::new().with_offset(settings.clock_offset);
         let control = handle::Control::new(clock);
-        let listeners = open(settings, &runtime, &control, log)?;
-        let life = control.clock().now().wall;
-        control.start(parts(settings, life, traffic, log)?);
+        let listeners = open_listeners(settings, &runtime, &control, log)?;
+        let incarnation = control.clock().now().wall;
+        control.start(control_parts(settings, incarnation, traffic, log)?);
         thread::Builder::new()
             .name("traffic".to_owned())
             .spawn({
@@ -82,32 +83,33 @@
                 let me = peer_name(settings);
                 move || traffic::run(&runtime, work, &control, &me)
             })
-            .change_context_lazy(fault("start traffic of"))?;
+            .change_context_lazy(context("start traffic of"))?;
         slog::info!(log, "node: Started."; "role" => ?settings.role, "peer" => %settings.peer,
             "seeds" => ?settings.seeds, "first" => settings.first);
         let (settings, log) = (settings.clone(), log.clone());
         Ok(Self { settings, runtime, control, _listeners: listeners, log })
     }
 
-    /// Ends gracefully: what is in progress is finished first, within the grace of the settings.
+    /// Shuts down gracefully: finishes work in progress first, within the grace period of the
+    /// settings.
     pub fn stop(self) {
-        const STEP: time::Duration = time::Duration::from_millis(50);
+        const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
         let (control, start) = (&self.control, time::Instant::now());
-        slog::info!(self.log, "node: Draining."; "open" => control.view().open());
+        slog::info!(self.log, "node: Draining."; "open" => control.view().open_jobs());
         control.drain();
         let grace = time::Duration::from_millis(self.settings.grace_ms).saturating_sub(RESERVE);
-        let least = match self.settings.role {
-            node::Role::Entry => LINGER,
-            node::Role::Keeper => HAND_OVER,
+        let delay = match self.settings.role {
+            node::Role::Entry => ENTRY_DELAY,
+            node::Role::Keeper => KEEPER_DELAY,
         };
-        thread::sleep(least.min(grace));
+        thread::sleep(delay.min(grace));
         control.close();
-        while start.elapsed() < grace && control.view().open() > 0 {
-            thread::sleep(STEP);
+        while start.elapsed() < grace && control.view().open_jobs() > 0 {
+            thread::sleep(POLL_INTERVAL);
         }
-        // Let the last responses and messages leave.
-        thread::sleep(STEP * 2);
-        slog::info!(self.log, "node: Stopped."; "open" => control.view().open());
+        // Gives the last responses and messages time to be sent.
+        thread::sleep(POLL_INTERVAL * 2);
+        slog::info!(self.log, "node: Stopped."; "open" => control.view().open_jobs());
     }
 }
 
@@ -115,21 +117,21 @@
     state::Name::new(&node.peer.to_string())
 }
 
-fn open(
+fn open_listeners(
     node: &node::Node,
     runtime: &tokio::runtime::Runtime,
     control: &handle::Control,
     log: &slog::Logger,
 ) -> error::Result<Vec<http::Listener>> {
-    let fault = || error::Error::new("start", &node.instance);
+    let context = || error::Error::new("start", &node.instance);
     let backend = sync::Arc::new(handle::Backend::new(control.clone(), log.clone()));
     let inbox = sync::Arc::new(handle::Inbox::new(control.clone()));
     let peer = node.peer_listen.unwrap_or(node.peer);
-    peer::Server::open(runtime, peer, &peer_name(node), inbox).change_context_lazy(fault)?;
+    peer::Server::open(runtime, peer, &peer_name(node), inbox).change_context_lazy(context)?;
     let mut listeners = Vec::new();
     let mut listen = |address, handler| {
         let listener = http::Listener::open(runtime, address, handler);
-        listener.change_context_lazy(fault).map(|listener| listeners.push(listener))
+        listener.change_context_lazy(context).map(|listener| listeners.push(listener))
     };
     if let Some(address) = node.client {
         listen(address, sync::Arc::new(platform::front::Front::new(sync::Arc::clone(&backend))))?;
@@ -138,19 +140,19 @@
         listen(address, sync::Arc::new(platform::front::Ready::new(sync::Arc::clone(&backend))))?;
     }
     if let Some(address) = node.metrics {
-        let measures = measure::Measures::new(control).change_context_lazy(fault)?;
-        listen(address, sync::Arc::new(measures))?;
+        let metrics = measure::MetricsHandler::new(control).change_context_lazy(context)?;
+        listen(address, sync::Arc::new(metrics))?;
     }
     if let Some(address) = node.operator {
-        let control = platform::control::Control::new(backend).change_context_lazy(fault)?;
+        let control = platform::control::Control::new(backend).change_context_lazy(context)?;
         listen(address, sync::Arc::new(control))?;
     }
     Ok(listeners)
 }
 
-fn parts(
+fn control_parts(
     node: &node::Node,
-    life: u64,
+    incarnation: u64,
     traffic: traffic::Sender,
     log: &slog::Logger,
 ) -> error::Result<control::Parts> {
@@ -159,19 +161,19 @@
         node::Role::Keeper => member::Role::Keeper,
     };
     let name = peer_name(node);
-    let me = member::Card { name: name.clone(), zone: node.zone.clone(), role, life };
+    let me = member::Card { name: name.clone(), zone: node.zone.clone(), role, life: incarnation };
     let seeds = node.seed_peers();
     let store = match &node.folder {
         Some(folder) => Some(open_store(node, folder, seeds.contains(&name), log)?),
         None => None,
     };
     let disk = store.as_ref().map(|store| core::Disk {
-        life: store.life,
+        life: store.incarnation,
         recovered: store.recovered(),
         first: node.first,
         known: store.known.clone(),
     });
-    let lease = node.lease_ms * LEASE_SHARE / 100;
+    let lease = node.lease_ms * LEASE_PERCENT / 100;
     let (seed, cores, policy, zones) =
         (rand::random(), node.cores, node.policy, node.zones.clone());
     let config = core::Config { me, seeds, lease, seed, cores, policy, zones, disk };
@@ -181,24 +183,26 @@
 fn open_store(
     node: &node::Node,
     folder: &path::Path,
-    founder: bool,
+    is_seed: bool,
     log: &slog::Logger,
 ) -> error::Result<store::Store> {
-    let fresh = u64::from(rand::random::<u32>()) + dispatch::control_log::FIRST_LIFE + 1;
-    let life = if node.first && founder { dispatch::control_log::FIRST_LIFE } else { fresh };
-    let store = store::Store::open(folder, &peer_name(node), life)?;
-    if store.torn > 0 {
-        slog::warn!(log, "store: Cut an unfinished write."; "bytes" => store.torn);
+    let random = u64::from(rand::random::<u32>()) + dispatch::control_log::FIRST_LIFE + 1;
+    let incarnation =
+        if node.first && is_seed { dispatch::control_log::FIRST_LIFE } else { random };
+    let store = store::Store::open(folder, &peer_name(node), incarnation)?;
+    if store.truncated > 0 {
+        slog::warn!(log, "store: Cut an unfinished write."; "bytes" => store.truncated);
     }
-    if let Some(fault) = &store.fault {
-        slog::warn!(log, "store: Who was known cannot be read."; "error" => fault);
+    if let Some(fault) = &store.hints_fault {
+        slog::warn!(log, "store: The saved instances and upstreams cannot be read.";
+            "error" => fault);
     }
-    slog::info!(log, "store: Opened."; "life" => store.life, "entries" => store.entries(),
+    slog::info!(log, "store: Opened."; "life" => store.incarnation, "entries" => store.entries(),
         "upstreams" => store.known.upstreams.len());
     Ok(store)
 }
 
-/// Tells the control thread of other seeds.
-fn tell_seeds(node: &node::Node, control: &handle::Control) {
-    let _told = control.tell(Event::Seeds(node.seed_peers()));
+/// Sends the seeds of the settings to the control thread.
+fn send_seeds(node: &node::Node, control: &handle::Control) {
+    let _sent = control.send(Event::Seeds(node.seed_peers()));
 }
--- a/crates/apricotroute/src/node/reload.rs
+++ b/crates/apricotroute/src/node/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the settings file again, on SIGHUP and when it has changed.
+//! Reloading of the settings file, on SIGHUP and when the file has changed.
 
 use std::{fs, path, sync, time};
 
@@ -6,10 +6,10 @@
 
 use super::handle;
 
-/// Between two looks at the file.
-const LOOK: time::Duration = time::Duration::from_secs(1);
+/// Interval between checks of the file's modification time.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Looks at the file from time to time and takes what has changed.
+/// Checks the file periodically and reloads it when its modification time has changed.
 pub fn watch(
     runtime: &sync::Arc<tokio::runtime::Runtime>,
     file: &path::Path,
@@ -19,22 +19,23 @@
 ) {
     let (file, node) = (file.to_owned(), node.clone());
     let (control, log) = (control.clone(), log.clone());
-    let stamp = |file: &path::Path| fs::metadata(file).and_then(|meta| meta.modified()).ok();
+    let modified = |file: &path::Path| fs::metadata(file).and_then(|meta| meta.modified()).ok();
     runtime.spawn(async move {
-        let mut held = stamp(&file);
+        let mut last = modified(&file);
         loop {
-            tokio::time::sleep(LOOK).await;
-            let now = stamp(&file);
-            if now != held {
-                held = now;
-                again(&file, &node, &control, &log);
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let now = modified(&file);
+            if now != last {
+                last = now;
+                reload(&file, &node, &control, &log);
             }
         }
     });
 }
 
-/// Reads the file and takes what may change while the instance runs: the seeds.
-pub fn again(file: &path::Path, node: &node::Node, control: &handle::Control, log: &slog::Logger) {
+/// Reads the file and applies the only setting that may change at run time, the seeds. A file that
+/// cannot be read or is invalid changes nothing.
+pub fn reload(file: &path::Path, node: &node::Node, control: &handle::Control, log: &slog::Logger) {
     let text = match fs::read_to_string(file) {
         Ok(text) => text,
         Err(e) => {
@@ -45,15 +46,15 @@
     };
     match node::Node::parse(&text) {
         Ok(fresh) => {
-            super::tell_seeds(&fresh, control);
-            let restart = node::Node { seeds: Vec::new(), first: false, ..fresh.clone() }
+            super::send_seeds(&fresh, control);
+            let needs_restart = node::Node { seeds: Vec::new(), first: false, ..fresh.clone() }
                 != node::Node { seeds: Vec::new(), first: false, ..node.clone() };
             slog::info!(log, "node: Settings read again."; "seeds" => ?fresh.seeds,
-                "needs_restart" => restart);
+                "needs_restart" => needs_restart);
         }
         Err(faults) => {
             for fault in faults {
-                slog::warn!(log, "node: A fault in the settings, keeping the former ones.";
+                slog::warn!(log, "node: The settings are invalid, keeping the former ones.";
                     "fault" => %fault);
             }
         }
--- a/crates/apricotroute/src/node/traffic.rs
+++ b/crates/apricotroute/src/node/traffic.rs
@@ -1,5 +1,5 @@
 //! The traffic thread: it runs the listeners, the streams to other instances and the calls to
-//! upstreams. It decides nothing.
+//! upstreams. It makes no scheduling decisions.
 
 use std::{collections, sync, time};
 
@@ -18,25 +18,25 @@
 pub enum Work {
     /// Send messages to an instance.
     Send(name::Name, Vec<bytes::Bytes>),
-    /// Open it anew.
+    /// Close the stream to an instance and open it again.
     Redial(name::Name),
-    /// Close it.
+    /// Close the stream to an instance.
     Disconnect(name::Name),
     /// Call an upstream.
     Call(Call),
 }
 
-/// Where work is handed in.
+/// The sending half of the work queue.
 pub type Sender = mpsc::UnboundedSender<Vec<Work>>;
-/// Where it is taken.
+/// The receiving half of the work queue.
 pub type Receiver = mpsc::UnboundedReceiver<Vec<Work>>;
 
-/// A channel for work. What is in it is bounded by what the core has under way.
+/// Creates the work queue. It needs no bound: the core limits how much work is in progress.
 pub fn channel() -> (Sender, Receiver) {
     mpsc::unbounded_channel()
 }
 
-/// Does the work until the process ends.
+/// Runs the thread: executes work until the process ends.
 pub fn run(
     runtime: &sync::Arc<tokio::runtime::Runtime>,
     mut work: Receiver,
@@ -47,38 +47,39 @@
         runtime: sync::Arc::clone(runtime),
         me: me.clone(),
         outbox: peer::Outbox::new(),
-        known: collections::BTreeSet::new(),
+        connected: collections::BTreeSet::new(),
     };
     let caller = caller::Caller::new();
     runtime.block_on(async {
         while let Some(batch) = work.recv().await {
-            for one in batch {
-                match one {
-                    Work::Call(call) => start(&caller, control, call),
-                    other => streams.take(other),
+            for work in batch {
+                match work {
+                    Work::Call(call) => start_call(&caller, control, call),
+                    other => streams.handle(other),
                 }
             }
         }
     });
 }
 
-fn start(caller: &caller::Caller, control: &handle::Control, call: Call) {
+fn start_call(caller: &caller::Caller, control: &handle::Control, call: Call) {
     let (caller, control) = (caller.clone(), control.clone());
     tokio::spawn(async move {
-        let began = time::Instant::now();
+        let start = time::Instant::now();
         let outcome = platform::upstream::call(&caller, &call).await;
-        metric::note_call(order_name(&call.order), outcome_name(&outcome), began.elapsed());
-        let well = matches!(outcome, Outcome::Done(_));
-        let (number, fence, took) = (call.number, call.fence, began.elapsed());
+        metric::note_call(order_label(&call.order), outcome_label(&outcome), start.elapsed());
+        let succeeded = matches!(outcome, Outcome::Done(_));
+        let (number, fence, took) = (call.number, call.fence, start.elapsed());
         let took = took.as_micros() as u64;
         let event = Event::Called(Answer { number, fence, took, outcome });
-        // Lost only if tens of thousands wait; the lists of the next hold tell the same.
-        let _told = if well { control.tell_later(event) } else { control.tell(event) };
+        // The event is dropped only if tens of thousands wait in the mailbox. The lists of the next
+        // hold then carry the same information.
+        let _sent = if succeeded { control.send_deferred(event) } else { control.send(event) };
     });
 }
 
-/// Short name of an order, for metrics.
-fn order_name(order: &Order) -> &'static str {
+/// The label of an order in metrics.
+fn order_label(order: &Order) -> &'static str {
     match order {
         Order::Hold { .. } => "hold",
         Order::Start { .. } => "start",
@@ -86,8 +87,8 @@
     }
 }
 
-/// Short name of what came of a call, for metrics.
-fn outcome_name(outcome: &Outcome) -> &'static str {
+/// The label of a call's outcome in metrics.
+fn outcome_label(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Done(_) | Outcome::Held { .. } => "done",
         Outcome::Refused(Reason::Fence, _) => "fence",
@@ -106,15 +107,16 @@
     runtime: sync::Arc<tokio::runtime::Runtime>,
     me: name::Name,
     outbox: peer::Outbox,
-    known: collections::BTreeSet<name::Name>,
+    connected: collections::BTreeSet<name::Name>,
 }
 
 impl Streams {
-    fn take(&mut self, work: Work) {
+    fn handle(&mut self, work: Work) {
         match work {
             Work::Send(to, bodies) => {
                 self.connect(&to);
-                // A full queue is a stream that carries nothing; the core notices the silence.
+                // A full queue means that the stream transmits nothing; the core then detects the
+                // silence of the instance.
                 let _sent = self.outbox.send(&to, bodies);
             }
             Work::Redial(to) => {
@@ -130,14 +132,14 @@
         let Ok(address) = to.as_str().parse() else {
             return;
         };
-        if self.known.insert(to.clone()) {
+        if self.connected.insert(to.clone()) {
             let outbox = std::mem::take(&mut self.outbox);
             self.outbox = outbox.with_peer(&self.runtime, &self.me, to, address);
         }
     }
 
     fn disconnect(&mut self, to: &name::Name) {
-        self.known.remove(to);
+        self.connected.remove(to);
         self.outbox.drop_peer(to);
     }
 }
--- a/crates/apricotroute/src/node/view.rs
+++ b/crates/apricotroute/src/node/view.rs
@@ -1,10 +1,10 @@
-//! What other threads may read of the instance without asking the control thread.
+//! State of the instance that other threads read without a request to the control thread.
 
 use std::{sync, sync::atomic};
 
 use dispatch::{routing, status};
 
-/// What other threads may read without asking.
+/// State that the control thread publishes for other threads.
 #[derive(Debug, Default)]
 pub struct View {
     pub(super) routing: sync::RwLock<sync::Arc<routing::Routing>>,
@@ -12,17 +12,17 @@
     pub(super) outdated: atomic::AtomicBool,
     pub(super) draining: atomic::AtomicBool,
     pub(super) closed: atomic::AtomicBool,
-    pub(super) open: atomic::AtomicUsize,
+    pub(super) open_jobs: atomic::AtomicUsize,
     pub(super) status: sync::RwLock<status::Status>,
 }
 
 impl View {
-    /// Jobs that clients wait for.
-    pub fn open(&self) -> usize {
-        self.open.load(atomic::Ordering::Relaxed)
+    /// Number of jobs that clients wait for.
+    pub fn open_jobs(&self) -> usize {
+        self.open_jobs.load(atomic::Ordering::Relaxed)
     }
 
-    /// How the instance stands, half a second old at most.
+    /// Status of the instance, at most half a second old.
     pub fn status(&self) -> status::Status {
         match self.status.read() {
             Ok(status) => *status,
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Puts other routes in force.
+    /// Replaces the routes in force.
     pub fn set_routing(&self, routing: routing::Routing) {
-        let mut held = self.routing.write().unwrap_or_else(sync::PoisonError::into_inner);
-        *held = sync::Arc::new(routing);
+        let mut current = self.routing.write().unwrap_or_else(sync::PoisonError::into_inner);
+        *current = sync::Arc::new(routing);
     }
 
     pub(super) fn routing(&self) -> sync::Arc<routing::Routing> {
-        let held = self.routing.read().unwrap_or_else(sync::PoisonError::into_inner);
-        sync::Arc::clone(&held)
+        let current = self.routing.read().unwrap_or_else(sync::PoisonError::into_inner);
+        sync::Arc::clone(&current)
     }
 }
--- a/crates/apricotroute/src/options.rs
+++ b/crates/apricotroute/src/options.rs
@@ -1,16 +1,16 @@
-//! Options of the command line: read one after the other, and nothing may be left.
+//! Command-line options: commands read them one by one, then [`finish`] rejects the rest.
 
 use error_stack::ResultExt as _;
 use pico_args::Arguments;
 
 use crate::error;
 
-/// The value of a required option.
+/// Reads the value of a required option.
 pub fn required(arguments: &mut Arguments, key: &'static str) -> error::Result<String> {
     arguments.value_from_str(key).change_context_lazy(|| error::Error::new("read argument", key))
 }
 
-/// The value of an option, or its default.
+/// Reads the value of an option, or returns its default.
 pub fn option<T: std::str::FromStr>(
     arguments: &mut Arguments,
     key: &'static str,
@@ -24,7 +24,7 @@
     Ok(value.unwrap_or(default))
 }
 
-/// Refuses whatever is left.
+/// Returns an error if any argument has not been read.
 pub fn finish(arguments: Arguments) -> error::Result<()> {
     match arguments.finish().first() {
         None => Ok(()),
--- a/crates/apricotroute/src/output.rs
+++ b/crates/apricotroute/src/output.rs
@@ -1,11 +1,12 @@
-//! What commands print.
+//! Output of commands.
 
 use std::{
     fmt,
     io::{self, Write as _},
 };
 
-/// Prints a text as it is. A reader that has gone, as `head` has after its lines, has what it wants.
+/// Prints a text without a line break. A closed pipe is no error: a reader such as `head` exits
+/// once it has the lines it wants.
 pub fn text(text: impl fmt::Display) {
     let written = write!(io::stdout(), "{text}").and_then(|()| io::stdout().flush());
     match written {
--- a/crates/apricotroute/src/remote.rs
+++ b/crates/apricotroute/src/remote.rs
@@ -1,4 +1,4 @@
-//! What the command asks of a running instance over HTTP.
+//! HTTP requests of the command to a running instance.
 
 use std::time;
 
@@ -6,61 +6,61 @@
 
 use crate::error;
 
-/// A response of an instance.
+/// An HTTP response of an instance.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: String,
 }
 
 impl Answer {
-    /// The body as JSON.
+    /// The body as JSON, or `null` if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 }
 
-/// Connections to an instance.
+/// An HTTP client for one instance.
 #[derive(Clone, Debug)]
 pub struct Remote {
     agent: ureq::Agent,
-    to: String,
+    address: String,
 }
 
 impl Remote {
-    /// An instance at `IP:PORT`.
-    pub fn new(to: &str) -> Self {
-        const CONNECT: time::Duration = time::Duration::from_secs(2);
-        const LONGEST: time::Duration = time::Duration::from_mins(15);
+    /// Creates a client for the instance at `IP:PORT`.
+    pub fn new(address: &str) -> Self {
+        const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
+        const TOTAL_TIMEOUT: time::Duration = time::Duration::from_mins(15);
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .proxy(None)
             .no_delay(true)
-            .timeout_connect(Some(CONNECT))
-            .timeout_global(Some(LONGEST))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(TOTAL_TIMEOUT))
             .build();
-        Self { agent: config.into(), to: to.to_owned() }
+        Self { agent: config.into(), address: address.to_owned() }
     }
 
-    /// `GET`.
+    /// Sends a `GET` request.
     pub fn get(&self, path: &str) -> error::Result<Answer> {
         self.read(self.agent.get(self.url(path)).call())
     }
 
-    /// `DELETE`.
+    /// Sends a `DELETE` request.
     pub fn delete(&self, path: &str) -> error::Result<Answer> {
         self.read(self.agent.delete(self.url(path)).call())
     }
 
-    /// `POST` of JSON.
+    /// Sends a `POST` request with a JSON body.
     pub fn post(&self, path: &str, body: &[u8]) -> error::Result<Answer> {
         let request = self.agent.post(self.url(path)).header("Content-Type", "application/json");
         self.read(request.send(body))
     }
 
-    /// A request to a service, with further headers.
+    /// Sends a request to a service, with additional headers.
     pub fn request(
         &self,
         service: &str,
@@ -74,25 +74,25 @@
         self.read(request.send(body))
     }
 
-    /// `PUT` of JSON.
+    /// Sends a `PUT` request with a JSON body.
     pub fn put(&self, path: &str, body: &[u8]) -> error::Result<Answer> {
         let request = self.agent.put(self.url(path)).header("Content-Type", "application/json");
         self.read(request.send(body))
     }
 
     fn url(&self, path: &str) -> String {
-        format!("http://{}{path}", self.to)
+        format!("http://{}{path}", self.address)
     }
 
     fn read(
         &self,
         result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> error::Result<Answer> {
-        const LARGEST: u64 = 256 << 20;
-        let fault = || error::Error::new("call", &self.to);
-        let mut response = result.change_context_lazy(fault)?;
+        const MAX_BODY: u64 = 256 << 20;
+        let context = || error::Error::new("call", &self.address);
+        let mut response = result.change_context_lazy(context)?;
         let status = response.status().as_u16();
-        let body = response.body_mut().with_config().limit(LARGEST).read_to_string();
-        Ok(Answer { status, body: body.change_context_lazy(fault)? })
+        let body = response.body_mut().with_config().limit(MAX_BODY).read_to_string();
+        Ok(Answer { status, body: body.change_context_lazy(context)? })
     }
 }
--- a/crates/apricotroute/src/reply.rs
+++ b/crates/apricotroute/src/reply.rs
@@ -1,35 +1,35 @@
-//! Responses of the client and operator interfaces.
+//! HTTP responses of the client and operator interfaces.
 
 use coord::message::{Answer, Refusal, Verdict};
 use link::http::{Fault, Response};
 use serde_json::value::RawValue;
 
-/// State of a submission, as the `State` header and the `state` key name it.
-const STATE: &str = "State";
-/// State of an answer to anything that starts no task.
+/// Header that carries the state of a submission; the JSON body has it as `state`.
+const STATE_HEADER: &str = "State";
+/// State of a response to a request that started no task.
 pub const NOT_RUN: &str = "not_run";
-/// State of an answer that cannot tell.
+/// State of a response when the instance cannot tell whether a task ran.
 pub const UNKNOWN: &str = "unknown";
 
-/// An error with the step and the peer at which it arose.
+/// An error response, with the step and the instance at which the error occurred.
 #[derive(Clone, Debug)]
 pub struct Fail<'a> {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// `failed`, `not_run` or `unknown`.
     pub state: &'static str,
-    /// What went wrong.
+    /// Message of the error.
     pub error: &'a str,
-    /// Step at which it did.
+    /// Step at which it occurred.
     pub step: &'a str,
-    /// Instance at which it did.
+    /// Instance at which it occurred.
     pub peer: &'a str,
-    /// When to come back, milliseconds; 0 = it would not help.
+    /// Delay before a retry, in milliseconds; 0 if a retry would not help.
     pub retry_ms: u64,
 }
 
 impl Fail<'_> {
-    /// The response that says so.
+    /// Converts the error into an HTTP response.
     pub fn response(&self) -> Response {
         let retry = (self.retry_ms > 0).then_some(self.retry_ms);
         let body = proto::json::Error {
@@ -40,7 +40,7 @@
             retry_after_ms: retry,
         };
         let text = serde_json::to_vec(&body).unwrap_or_default();
-        let response = Response::json(self.status, text).with_header(STATE, self.state);
+        let response = Response::json(self.status, text).with_header(STATE_HEADER, self.state);
         match retry {
             Some(ms) => response.with_header("Retry-After", ms.div_ceil(1_000).to_string()),
             None => response,
@@ -48,39 +48,39 @@
     }
 }
 
-/// A malformed request.
+/// The response to a request that is not valid.
 pub fn bad(status: u16, step: &str, error: &str, peer: &str) -> Response {
     Fail { status, state: NOT_RUN, error, step, peer, retry_ms: 0 }.response()
 }
 
-/// The response to a request that never became whole.
+/// The response to a request whose body was not received completely.
 pub fn fault(fault: Fault, peer: &str) -> Response {
     let (status, error) = match fault {
         Fault::TooLarge => (413, "the body is too large"),
         Fault::TooSlow => (408, "the body did not arrive in time"),
-        Fault::Broken => (400, "the body broke off"),
+        Fault::Broken => (400, "the body ended early"),
         Fault::Crowded => (503, "too many bodies are being read"),
     };
     bad(status, "read body", error, peer)
 }
 
-/// The response when the control thread has more to do than it may put off.
+/// The response when the queue of the control thread is full.
 pub fn overwhelmed(peer: &str) -> Response {
     const RETRY_MS: u64 = 200;
-    let error = "the instance has too much to do";
+    let error = "the instance is overloaded";
     let (status, state, step) = (503, NOT_RUN, "queue request");
     Fail { status, state, error, step, peer, retry_ms: RETRY_MS }.response()
 }
 
-/// The response to a submission.
+/// The response to a submission. For a `raw` request it is the upstream's answer itself.
 pub fn verdict(verdict: &Verdict, job: &str, raw: bool, peer: &str) -> Response {
     match verdict {
-        Verdict::Complete(answers) if raw => whole(answers),
+        Verdict::Complete(answers) if raw => raw_answer(answers),
         Verdict::Complete(answers) => complete(answers, job),
         Verdict::Running => {
             let body = proto::json::Running { state: "running", job: job.to_owned() };
             let text = serde_json::to_vec(&body).unwrap_or_default();
-            Response::json(202, text).with_header(STATE, "running")
+            Response::json(202, text).with_header(STATE_HEADER, "running")
         }
         Verdict::Failed { why, late } => {
             let status = if *late { 504 } else { 502 };
@@ -121,27 +121,27 @@
     }
 }
 
-/// The upstream's answer to a request, as it came.
-fn whole(answers: &[Answer]) -> Response {
+/// The upstream's answer to a request, unchanged.
+fn raw_answer(answers: &[Answer]) -> Response {
     let answer = answers.first();
     let body = answer.map(|answer| answer.body.clone()).unwrap_or_default();
     let content = answer.map(|answer| answer.content.to_string()).unwrap_or_default();
     let response = Response { status: 200, content, headers: Vec::new(), body };
-    response.with_header(STATE, "complete")
+    response.with_header(STATE_HEADER, "complete")
 }
 
 fn complete(answers: &[Answer], job: &str) -> Response {
-    let answers: Vec<_> = answers.iter().map(raw_json).collect();
+    let answers: Vec<_> = answers.iter().map(to_json).collect();
     let answers = answers.iter().map(AsRef::as_ref).collect();
     let body = proto::json::Complete { state: "complete", job: job.to_owned(), answers };
     match serde_json::to_vec(&body) {
-        Ok(text) => Response::json(200, text).with_header(STATE, "complete"),
+        Ok(text) => Response::json(200, text).with_header(STATE_HEADER, "complete"),
         Err(e) => Response::text(500, e.to_string()),
     }
 }
 
-/// An answer as JSON: as it is if it is JSON, else as a string.
-fn raw_json(answer: &Answer) -> Box<RawValue> {
+/// Converts an answer to JSON: unchanged if it is valid JSON, otherwise as a string.
+fn to_json(answer: &Answer) -> Box<RawValue> {
     if let Ok(raw) = serde_json::from_slice::<Box<RawValue>>(&answer.body) {
         return raw;
     }
--- a/crates/apricotroute/src/status.rs
+++ b/crates/apricotroute/src/status.rs
@@ -1,4 +1,4 @@
-//! Metrics of the control thread, and the status as text.
+//! Metrics of the control thread, and the status in text form.
 
 use std::{fmt::Write as _, sync, sync::OnceLock, time};
 
@@ -8,7 +8,7 @@
 
 use crate::control;
 
-/// Names of the gauges that are read off the control thread.
+/// Names of the gauges whose values come from the control thread.
 const GAUGES: &[&str] = &[
     "submitted",
     "completed",
@@ -34,7 +34,7 @@
     "settings_version",
 ];
 
-/// Adds the gauges of the control thread.
+/// Registers the gauges of the control thread. They share one cached status.
 pub fn watch(metrics: &'static Metrics, control: &control::Control) {
     static CACHE: OnceLock<sync::Mutex<Option<(time::Instant, Status)>>> = OnceLock::new();
     for name in GAUGES {
@@ -43,8 +43,8 @@
             let Ok(mut cache) = CACHE.get_or_init(sync::Mutex::default).lock() else {
                 return Vec::new();
             };
-            let fresh = |at: &time::Instant| at.elapsed() < time::Duration::from_millis(200);
-            if cache.as_ref().is_none_or(|(at, _)| !fresh(at)) {
+            let is_fresh = |at: &time::Instant| at.elapsed() < time::Duration::from_millis(200);
+            if cache.as_ref().is_none_or(|(at, _)| !is_fresh(at)) {
                 let status = control.inspect(coord::Core::status);
                 *cache = status.map(|status| (time::Instant::now(), status));
             }
@@ -55,26 +55,26 @@
 
 fn readings(status: &Status) -> Vec<Reading> {
     let counts = &status.counts;
-    let plain = |name: &'static str, value: u64| (name, Vec::new(), value as f64);
+    let unlabelled = |name: &'static str, value: u64| (name, Vec::new(), value as f64);
     let mut list = vec![
-        plain("submitted", counts.submitted),
-        plain("completed", counts.completed),
-        plain("failed", counts.failed),
-        plain("unknown", counts.unknown),
-        plain("starts", counts.starts),
-        plain("moved", counts.moved),
-        plain("retries", counts.retries),
-        plain("hedges", counts.hedges),
-        plain("stops", counts.stops),
-        plain("forwards", counts.forwards),
-        plain("loans_asked", counts.asked_loans),
-        plain("slots_borrowed", u64::from(status.borrowed)),
-        plain("messages_rejected", counts.rejected),
-        plain("expelled", counts.expelled),
-        plain("ejected", status.upstreams.iter().filter(|u| u.ejected).count() as u64),
-        plain("jobs", status.jobs as u64),
-        plain("ready", u64::from(status.ready)),
-        plain("settings_version", status.version),
+        unlabelled("submitted", counts.submitted),
+        unlabelled("completed", counts.completed),
+        unlabelled("failed", counts.failed),
+        unlabelled("unknown", counts.unknown),
+        unlabelled("starts", counts.starts),
+        unlabelled("moved", counts.moved),
+        unlabelled("retries", counts.retries),
+        unlabelled("hedges", counts.hedges),
+        unlabelled("stops", counts.stops),
+        unlabelled("forwards", counts.forwards),
+        unlabelled("loans_asked", counts.asked_loans),
+        unlabelled("slots_borrowed", u64::from(status.borrowed)),
+        unlabelled("messages_rejected", counts.rejected),
+        unlabelled("expelled", counts.expelled),
+        unlabelled("ejected", status.upstreams.iter().filter(|u| u.ejected).count() as u64),
+        unlabelled("jobs", status.jobs as u64),
+        unlabelled("ready", u64::from(status.ready)),
+        unlabelled("settings_version", status.version),
     ];
     for (reason, count) in &counts.refused {
         list.push(("refused", vec![("reason", (*reason).to_owned())], *count as f64));
@@ -84,15 +84,15 @@
         list.push(("queue", label.clone(), service.queue as f64));
         list.push(("slots_free", label, f64::from(service.free)));
     }
-    let me = format!("{}#", status.instance);
+    let prefix = format!("{}#", status.instance);
     for group in &status.groups {
-        let leads = group.leader.as_ref().is_some_and(|leader| leader.starts_with(&me));
+        let leads = group.leader.as_ref().is_some_and(|leader| leader.starts_with(&prefix));
         list.push(("leader", vec![("group", group.group.clone())], f64::from(u8::from(leads))));
     }
     list
 }
 
-/// The status for a person to read.
+/// Formats the status for people to read.
 pub fn text(status: &Value) -> String {
     let mut out = String::new();
     let show = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
