--- a/crates/dispatch/src/claim.rs
+++ b/crates/dispatch/src/claim.rs
@@ -2,10 +2,11 @@
 
 use state::name;
 
-/// The lower bits of an epoch tell the instances apart that claim in the same millisecond: two
-/// owners with the same fencing token would not be told from one another by any upstream.
+/// Number of the low bits of an epoch that hold a hash of the claimant's name. They make the epochs
+/// of instances that claim in the same millisecond differ: no upstream could tell two owners with
+/// the same fencing token from one another.
 pub(crate) const OWNER_BITS: u32 = 12;
-/// The next higher fencing token of the same owner is this much above.
+/// Difference between a fencing token and the next higher one of the same owner.
 pub const NEXT_FENCE: u64 = 1 << OWNER_BITS;
 
 /// An instance's claim to schedule a zone.
@@ -13,11 +14,12 @@
 pub struct Claim {
     /// The availability zone.
     pub zone: name::Name,
-    /// When it was made, or later, in milliseconds since the Unix epoch, with some bits of the
-    /// holder's name below: the holder's first fencing token. The higher claim counts.
+    /// The holder's first fencing token: the time of the claim or a later one, in milliseconds
+    /// since the Unix epoch, above some low bits from a hash of the holder's name. The claim with
+    /// the higher epoch wins.
     pub epoch: u64,
-    /// The instance.
+    /// The instance that claims the zone.
     pub holder: name::Name,
-    /// Incarnation of the instance.
+    /// Incarnation of the holder.
     pub life: u64,
 }
--- a/crates/dispatch/src/control_log.rs
+++ b/crates/dispatch/src/control_log.rs
@@ -1,5 +1,5 @@
-//! What the operator orders, replicated: configurations, of which the highest version wins, and the
-//! zones that are evacuated.
+//! Replicated log of the operator's orders: configurations, of which the highest version wins, and
+//! evacuations of zones.
 
 use std::collections;
 
@@ -13,27 +13,27 @@
     time,
 };
 
-/// Intervals of the group. A leader that is lost is replaced within 1.5 s, so that an order which
-/// came meanwhile is acknowledged within the 4 s that the operator grants, with one repetition.
+/// Timing of the Raft group. A lost leader is replaced within 1.5 s, so that an order that arrives
+/// in the meantime is acknowledged within the 4 s that the operator allows, with one repetition.
 const TIMING: raft::Timing =
     raft::Timing { heartbeat: 200 * time::MS, election: 700 * time::MS, lease: 600 * time::MS };
-/// A proposal is repeated after this, microseconds: a leader may have been lost with it.
-const REPEAT: u64 = 300 * time::MS;
-/// An order is answered within this, microseconds: callers move on after a second.
-const PATIENCE: u64 = 900 * time::MS;
-/// Most members that vote: two of five may be lost.
-const VOTERS: usize = 5;
-/// Entries after which the log is compacted. One holds a whole packed configuration, 61 KB with
-/// 4,200 routes, so that the log stays under 4 MB on disk and in memory.
+/// A proposal is repeated after this, microseconds: it may have been lost with a leader.
+const PROPOSAL_RETRY: u64 = 300 * time::MS;
+/// An order or a read is answered within this, microseconds: callers stop waiting after a second.
+const REPLY_TIMEOUT: u64 = 900 * time::MS;
+/// Maximum number of voting members: two of five may be lost.
+const MAX_VOTERS: usize = 5;
+/// Number of entries after which the log is compacted. An entry may hold a whole compressed
+/// configuration, 61 KB with 4,200 routes, so that the log stays under 4 MB on disk and in memory.
 const COMPACT_EVERY: u64 = 32;
-/// Entries kept then for slow followers.
+/// Number of entries that compaction keeps for slow followers.
 const KEPT_ENTRIES: u64 = 8;
-/// The formation of a group whose first members are named by their settings.
-const NAMED: agree::Formation = agree::Formation { at: 1, by: 1 };
-/// Incarnation of a disk in the group's first members.
+/// The formation of a group whose first members the settings name.
+const FIRST_FORMATION: agree::Formation = agree::Formation { at: 1, by: 1 };
+/// Incarnation of the disks of the group's first members.
 pub const FIRST_LIFE: u64 = 1;
 
-/// A change of the replicated state, as it is in the log.
+/// A change of the replicated state, as stored in the log.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 enum Change {
     Publish(Document),
@@ -46,24 +46,25 @@
     origin: u64,
 }
 
-/// How a log entry was written before there were evacuations.
+/// Format of a log entry from versions without evacuations.
 #[derive(serde::Deserialize)]
-struct FormerCommand {
+struct LegacyCommand {
     origin: u64,
     document: Document,
 }
 
 impl Command {
     fn decode(bytes: &[u8]) -> Option<Self> {
-        // An origin is far above the numbers of the kinds of change, so neither is read as the other.
+        // An origin is far larger than any variant index of `Change`, so neither format is decoded
+        // as the other.
         postcard::from_bytes(bytes).ok().or_else(|| {
-            let FormerCommand { origin, document } = postcard::from_bytes(bytes).ok()?;
+            let LegacyCommand { origin, document } = postcard::from_bytes(bytes).ok()?;
             Some(Self { change: Change::Publish(document), origin })
         })
     }
 }
 
-/// How an order ended.
+/// The result of an order that was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Applied {
     origin: u64,
@@ -72,10 +73,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
-    Held,
-    /// Another configuration has the version.
+    InForce,
+    /// Another configuration has the same version.
     Conflict,
-    /// The order was given on a state that has changed since.
+    /// The state has changed since the order was proposed.
     Stale,
 }
 
@@ -86,15 +87,16 @@
     evacuations: evacuation::Evacuations,
 }
 
-/// The replicated state as a state machine.
+/// The state machine that applies the log to the replicated state.
 #[derive(Debug, Default)]
 pub struct Machine {
     state: State,
 }
 
 impl Machine {
-    /// Whether `document` may be acknowledged beside the one that is held; nothing if it is newer.
-    fn judge(&self, document: &Document) -> Option<bool> {
+    /// Whether `document` can be acknowledged without a change, as it is older than the held one or
+    /// has the same text; `None` if it is newer than the held one.
+    fn precheck(&self, document: &Document) -> Option<bool> {
         let held = &self.state.document;
         if document.version > held.version {
             return None;
@@ -104,19 +106,19 @@
     }
 
     fn publish(&mut self, document: Document) -> Outcome {
-        match self.judge(&document) {
-            Some(true) => Outcome::Held,
+        match self.precheck(&document) {
+            Some(true) => Outcome::InForce,
             Some(false) => Outcome::Conflict,
             None => {
                 self.state.document = document;
-                Outcome::Held
+                Outcome::InForce
             }
         }
     }
 
     fn evacuate(&mut self, order: &evacuation::Order) -> Outcome {
         match self.state.evacuations.apply(order) {
-            evacuation::Outcome::Held => Outcome::Held,
+            evacuation::Outcome::Held => Outcome::InForce,
             evacuation::Outcome::Stale => Outcome::Stale,
         }
     }
@@ -141,12 +143,12 @@
     }
 
     fn restore(&mut self, state: &[u8]) {
-        // Snapshots held the configuration only before there were evacuations.
-        let former = || State {
+        // Snapshots of versions without evacuations hold only the configuration.
+        let legacy = || State {
             document: postcard::from_bytes(state).unwrap_or_default(),
             ..State::default()
         };
-        let state = postcard::from_bytes(state).unwrap_or_else(|_| former());
+        let state = postcard::from_bytes(state).unwrap_or_else(|_| legacy());
         let key = |state: &State| (state.document.version, state.evacuations.revision);
         if key(&state) >= key(&self.state) {
             self.state = state;
@@ -157,50 +159,50 @@
 }
 
 #[derive(Debug)]
-struct Order {
+struct PendingOrder {
     ticket: Ticket,
     change: Change,
-    repeat: u64,
-    until: u64,
+    retry_at: u64,
+    deadline: u64,
 }
 
 #[derive(Debug)]
-enum Asker {
-    Here(Ticket),
+enum Requester {
+    Local(Ticket),
     Peer(name::Name, u64),
 }
 
 #[derive(Debug)]
-struct Question {
-    asker: Asker,
-    asked: u64,
-    until: u64,
-    floor: Option<u64>,
+struct Query {
+    requester: Requester,
+    asked_at: u64,
+    deadline: u64,
+    min_version: Option<u64>,
 }
 
-/// Effects of the last calls.
+/// Effects of the calls since the last [`ControlLog::take`].
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages.
+    /// Messages to other instances.
     pub sends: Vec<(name::Name, Body)>,
-    /// Changes to store.
+    /// Changes to store on disk, with their numbers.
     pub saves: Vec<(u64, raft::Save)>,
-    /// Answers.
+    /// Answers to the operator.
     pub replies: Vec<(Ticket, Reply)>,
 }
 
-/// A member of the group that holds the configuration.
+/// A member of the Raft group that replicates the control log.
 #[derive(Debug)]
 pub struct ControlLog {
     group: group::Group<Machine>,
-    orders: collections::BTreeMap<u64, Order>,
-    questions: collections::BTreeMap<u64, Question>,
-    next: u64,
+    orders: collections::BTreeMap<u64, PendingOrder>,
+    queries: collections::BTreeMap<u64, Query>,
+    last_number: u64,
     out: Output,
 }
 
 impl ControlLog {
-    /// A member that starts from what it had stored. `founders` are the first members, if the
+    /// Creates a member that starts from its stored state. `founders` are the first members, if the
     /// whole system starts for the first time and this instance is one of them.
     pub fn new(
         me: name::Member,
@@ -228,13 +230,13 @@
         {
             let member = |name| name::Member::new(name, FIRST_LIFE);
             let voters = entry::Voters(founders.iter().map(member).collect());
-            group.form(NAMED, voters, now);
+            group.form(FIRST_FORMATION, voters, now);
         }
         Self {
             group,
             orders: collections::BTreeMap::new(),
-            questions: collections::BTreeMap::new(),
-            next: seed >> 8,
+            queries: collections::BTreeMap::new(),
+            last_number: seed >> 8,
             out: Output::default(),
         }
     }
@@ -248,11 +250,11 @@
         for applied in group.effects {
             if let Some(order) = self.orders.remove(&applied.origin) {
                 let reply = match applied.outcome {
-                    Outcome::Held => Reply::Noted,
+                    Outcome::InForce => Reply::Noted,
                     Outcome::Conflict => Reply::Conflict,
                     Outcome::Stale => {
-                        // The next tick proposes it on the present state.
-                        self.orders.insert(applied.origin, Order { repeat: 0, ..order });
+                        // The next tick proposes the order again, based on the present state.
+                        self.orders.insert(applied.origin, PendingOrder { retry_at: 0, ..order });
                         continue;
                     }
                 };
@@ -262,12 +264,12 @@
         std::mem::take(&mut self.out)
     }
 
-    /// The newest configuration that is known to be committed.
+    /// The newest configuration that this member knows to be committed.
     pub fn document(&self) -> &Document {
         &self.group.machine().state.document
     }
 
-    /// The evacuated zones, by the newest order that is known to be committed.
+    /// The evacuated zones, by the newest order that this member knows to be committed.
     pub fn evacuations(&self) -> &evacuation::Evacuations {
         &self.group.machine().state.evacuations
     }
@@ -277,67 +279,67 @@
         self.group.is_leader()
     }
 
-    /// The group's log and term, once this member belongs to it.
+    /// The Raft state of the group, once this member belongs to it.
     pub fn raft(&self) -> Option<&raft::Raft> {
         self.group.raft()
     }
 
-    /// Voters of the group, for people.
+    /// The voters of the group, separated by spaces, for display.
     pub fn voters(&self) -> String {
         let voters = self.group.raft().map(|raft| raft.voters().0.clone()).unwrap_or_default();
         voters.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ")
     }
 
-    /// Names the other instances that may be members.
+    /// Sets the other instances that may be members.
     pub fn set_others(&mut self, others: Vec<name::Name>) {
         self.group.set_others(others);
     }
 
-    /// Takes a configuration from the operator.
+    /// Handles a configuration from the operator.
     pub fn publish(&mut self, ticket: Ticket, document: Document, now: u64) {
-        if let Some(same) = self.group.machine().judge(&document) {
+        if let Some(same) = self.group.machine().precheck(&document) {
             let reply = if same { Reply::Noted } else { Reply::Conflict };
             self.out.replies.push((ticket, reply));
             return;
         }
-        self.order(ticket, Change::Publish(document), now);
+        self.add_order(ticket, Change::Publish(document), now);
     }
 
-    /// Takes an order to evacuate a zone, or to take it back. It goes through the log even where it
-    /// asks for what holds here: this member may lag behind.
+    /// Handles an order to evacuate a zone or to revert its evacuation. The order goes through the
+    /// log even if it asks for the state that this member holds: this member may lag behind.
     pub fn evacuate(&mut self, ticket: Ticket, zone: name::Name, evacuated: bool, now: u64) {
         let order = evacuation::Order { zone, evacuated, base: 0 };
-        self.order(ticket, Change::Evacuate(order), now);
+        self.add_order(ticket, Change::Evacuate(order), now);
     }
 
-    fn order(&mut self, ticket: Ticket, change: Change, now: u64) {
-        self.next += 1;
-        let order = Order { ticket, change, repeat: 0, until: now + PATIENCE };
-        self.orders.insert(self.next, order);
-        self.repeat(now);
+    fn add_order(&mut self, ticket: Ticket, change: Change, now: u64) {
+        self.last_number += 1;
+        let order = PendingOrder { ticket, change, retry_at: 0, deadline: now + REPLY_TIMEOUT };
+        self.orders.insert(self.last_number, order);
+        self.propose_due(now);
     }
 
-    /// Looks up the newest configuration for the operator.
+    /// Reads the newest configuration for the operator.
     pub fn read(&mut self, ticket: Ticket, now: u64) {
-        self.ask(Asker::Here(ticket), now);
+        self.query(Requester::Local(ticket), now);
     }
 
-    /// Looks up the newest version for another member.
+    /// Handles the query of another member for the newest version, if this member leads the group.
     pub fn confirm(&mut self, from: &name::Name, number: u64, now: u64) {
         if self.group.is_leader() {
-            self.ask(Asker::Peer(from.clone(), number), now);
+            self.query(Requester::Peer(from.clone(), number), now);
         }
     }
 
-    /// The leader has answered a question.
+    /// Handles the leader's answer to a query.
     pub fn confirmed(&mut self, number: u64, version: u64) {
-        if let Some(question) = self.questions.get_mut(&number) {
-            question.floor = Some(version);
+        if let Some(query) = self.queries.get_mut(&number) {
+            query.min_version = Some(version);
         }
-        self.answer(0);
+        self.answer_queries(0);
     }
 
-    /// Takes a message of the group.
+    /// Handles a message of the group.
     pub fn agree(&mut self, from: &name::Name, body: agree::Body, now: time::Now) {
         match body {
             agree::Body::Form(_, life, form) => {
@@ -351,13 +353,13 @@
             }
             _ => {}
         }
-        self.answer(now.mono);
+        self.answer_queries(now.mono);
     }
 
-    /// Stores up to this number are on disk.
+    /// Handles that the changes up to this number are on disk.
     pub fn saved(&mut self, number: u64, now: u64) {
         self.group.saved(number, now);
-        self.answer(now);
+        self.answer_queries(now);
     }
 
     /// Gives up leadership.
@@ -365,16 +367,16 @@
         self.group.hand_over(now);
     }
 
-    /// Lets time pass.
+    /// Runs the periodic work that is due at `now`.
     pub fn tick(&mut self, now: time::Now) {
         self.group.tick(now);
-        self.group.reseat(VOTERS, now.mono);
-        self.repeat(now.mono);
-        self.answer(now.mono);
-        let over = self.questions.iter().filter(|(_, question)| now.mono >= question.until);
-        for number in over.map(|(number, _)| *number).collect::<Vec<_>>() {
-            if let Some(Question { asker: Asker::Here(ticket), .. }) =
-                self.questions.remove(&number)
+        self.group.reseat(MAX_VOTERS, now.mono);
+        self.propose_due(now.mono);
+        self.answer_queries(now.mono);
+        let expired = self.queries.iter().filter(|(_, query)| now.mono >= query.deadline);
+        for number in expired.map(|(number, _)| *number).collect::<Vec<_>>() {
+            if let Some(Query { requester: Requester::Local(ticket), .. }) =
+                self.queries.remove(&number)
             {
                 self.out.replies.push((ticket, Reply::Unavailable));
             }
@@ -382,14 +384,14 @@
     }
 
     /// Proposes the orders that are due, and gives up those that are not committed in time.
-    fn repeat(&mut self, now: u64) {
-        let mut over = Vec::new();
+    fn propose_due(&mut self, now: u64) {
+        let mut expired = Vec::new();
         let revision = self.evacuations().revision;
         for (origin, order) in &mut self.orders {
-            if now >= order.until {
-                over.push(*origin);
-            } else if now >= order.repeat {
-                order.repeat = now + REPEAT;
+            if now >= order.deadline {
+                expired.push(*origin);
+            } else if now >= order.retry_at {
+                order.retry_at = now + PROPOSAL_RETRY;
                 if let Change::Evacuate(order) = &mut order.change {
                     order.base = revision;
                 }
@@ -397,47 +399,48 @@
                 self.group.propose(&coord::machine::encode(&command), now);
             }
         }
-        for origin in over {
+        for origin in expired {
             if let Some(order) = self.orders.remove(&origin) {
                 self.out.replies.push((order.ticket, Reply::Unavailable));
             }
         }
     }
 
-    fn ask(&mut self, asker: Asker, now: u64) {
-        self.next += 1;
-        let number = self.next;
-        let question = Question { asker, asked: now, until: now + PATIENCE, floor: None };
-        self.questions.insert(number, question);
+    fn query(&mut self, requester: Requester, now: u64) {
+        self.last_number += 1;
+        let number = self.last_number;
+        let query =
+            Query { requester, asked_at: now, deadline: now + REPLY_TIMEOUT, min_version: None };
+        self.queries.insert(number, query);
         if self.group.is_leader() {
             self.group.beat(now);
         } else if let Some(leader) = self.group.raft().and_then(raft::Raft::leader) {
             self.out.sends.push((leader.name.clone(), Body::Confirm(number)));
         }
-        self.answer(now);
+        self.answer_queries(now);
     }
 
-    /// Answers the questions whose answer is proved to be the newest by now.
-    fn answer(&mut self, now: u64) {
-        let proved = self.proved(now);
+    /// Answers the queries for which this member's configuration is proved to be the newest by now.
+    fn answer_queries(&mut self, now: u64) {
+        let proved = self.quorum_time(now);
         let held = self.document().clone();
         let mut done = Vec::new();
-        for (number, question) in &self.questions {
-            let here = proved.is_some_and(|at| at >= question.asked);
-            let there = question.floor.is_some_and(|floor| held.version >= floor);
-            if here || there {
+        for (number, query) in &self.queries {
+            let local = proved.is_some_and(|at| at >= query.asked_at);
+            let remote = query.min_version.is_some_and(|version| held.version >= version);
+            if local || remote {
                 done.push(*number);
             }
         }
         for number in done {
-            match self.questions.remove(&number).map(|question| question.asker) {
-                Some(Asker::Here(ticket)) if held.version == 0 => {
+            match self.queries.remove(&number).map(|query| query.requester) {
+                Some(Requester::Local(ticket)) if held.version == 0 => {
                     self.out.replies.push((ticket, Reply::Unavailable));
                 }
-                Some(Asker::Here(ticket)) => {
+                Some(Requester::Local(ticket)) => {
                     self.out.replies.push((ticket, Reply::Newest(held.clone())));
                 }
-                Some(Asker::Peer(name, number)) => {
+                Some(Requester::Peer(name, number)) => {
                     let body = Body::Confirmed(number, held.version);
                     self.out.sends.push((name, body));
                 }
@@ -446,15 +449,15 @@
         }
     }
 
-    /// The latest time at which a quorum is known to have followed this leader.
-    fn proved(&self, now: u64) -> Option<u64> {
+    /// The latest time at which a quorum is known to have followed this member as its leader.
+    fn quorum_time(&self, now: u64) -> Option<u64> {
         let raft = self.group.raft().filter(|raft| raft.is_leader() && raft.is_current())?;
         Some(raft.lease(now).saturating_sub(TIMING.lease))
     }
 }
 
-/// Whether two packed texts are the same. Another version of this program may pack the same text to
-/// other bytes.
+/// Whether two compressed texts are the same. Another version of this program may compress the same
+/// text to other bytes.
 fn is_same(one: &bytes::Bytes, other: &bytes::Bytes) -> bool {
     one == other
         || matches!((compression::decompress(one), compression::decompress(other)), (Ok(a), Ok(b)) if a == b)
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -1,32 +1,34 @@
-//! Evacuated availability zones: nothing is started at their upstreams until they are taken back.
+//! Evacuated availability zones: no tasks are started at their upstreams until the evacuation is
+//! reverted.
 
 use state::name;
 
-/// Asks for a zone to be evacuated or taken back.
+/// An order to evacuate a zone or to revert its evacuation.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Order {
     /// The zone.
     pub zone: name::Name,
-    /// Whether it is to be evacuated.
+    /// Whether the zone is to be evacuated; false reverts an evacuation.
     pub evacuated: bool,
-    /// Revision of the set that the order was given on. A copy that arrives after later changes is
-    /// stale and has no effect.
+    /// Revision of the set of evacuated zones that the order is based on. A copy of the order that
+    /// arrives after later changes is stale and has no effect.
     pub base: u64,
 }
 
-/// What came of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The zone is as the order asks.
+    /// The zone is in the state that the order asks for.
     Held,
-    /// The set has changed since the order was given.
+    /// The set of evacuated zones has changed since the order was given.
     Stale,
 }
 
-/// The evacuated zones.
+/// The set of evacuated zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Evacuations {
-    /// Rises with each change; the highest is in force.
+    /// Revision of the set: it rises with each change, and the set with the highest one is in
+    /// force.
     pub revision: u64,
     /// The zones, in the order in which they were evacuated.
     pub zones: smallvec::SmallVec<[name::Name; 1]>,
@@ -47,7 +49,8 @@
         self.zones.contains(zone)
     }
 
-    /// Carries out an order. One that asks for what holds already is held whatever its base.
+    /// Applies an order. The result of an order that asks for the present state of the zone is
+    /// [`Outcome::Held`], whatever the order's base is.
     pub fn apply(&mut self, order: &Order) -> Outcome {
         if self.has(&order.zone) == order.evacuated {
             return Outcome::Held;
@@ -64,7 +67,7 @@
         Outcome::Held
     }
 
-    /// The zones, for people.
+    /// Names of the zones, separated by spaces, for display.
     pub fn names(&self) -> String {
         let names: Vec<_> = self.zones.iter().map(name::Name::as_str).collect();
         names.join(" ")
--- a/crates/dispatch/src/fetch.rs
+++ b/crates/dispatch/src/fetch.rs
@@ -1,9 +1,10 @@
-//! Fetching a newer configuration: from one instance at a time, part by part.
+//! Download of a newer configuration, from one source instance at a time, part by part.
 //!
-//! Heartbeats tell which version an instance has. Whoever lacks the newest asks one that has it for
-//! one part after the other. Nothing is asked for twice while an answer may be on its way, and a part
-//! is small beside what a link carries between two heartbeats, so that these are never held up. An
-//! instance that does not answer is replaced by the next one, which goes on where the former ended.
+//! Each heartbeat carries the version that its sender has. An instance that lacks the newest
+//! version requests one part after the other from an instance that has it. It does not repeat a
+//! request while an answer may be on its way, and a part is small compared with what a link carries
+//! between two heartbeats, so that parts never delay heartbeats. If a source does not answer, the
+//! next one continues where the former ended.
 
 use state::name;
 
@@ -12,32 +13,34 @@
     time,
 };
 
-/// Size of a part, bytes: 21 ms of a link of 25 Mbit/s, a seventh of the time between two
-/// heartbeats.
-const PART: usize = 64 << 10;
-/// A part that has not come after this is asked for elsewhere, microseconds. On a link of 25 Mbit/s
-/// that is half used a part takes 42 ms, and busy processes read it late.
-const PATIENCE: u64 = 400 * time::MS;
-/// Patience for a part is this many times what the last one took, where that is more: on a slow link
-/// asking elsewhere only adds copies.
-const PACE: u64 = 2;
-/// Until a part has come each one that did not doubles the patience, up to this many times.
-const MOST: u32 = 3;
-/// Instances that are passed over because they did not answer, until all of them did not.
-const TRIED: usize = 4;
+/// Maximum size of a part, bytes: it takes 21 ms on a link of 25 Mbit/s, a seventh of the time
+/// between two heartbeats.
+const PART_SIZE: usize = 64 << 10;
+/// Minimum time to wait for a part before requesting it from another source, microseconds. On a
+/// link of 25 Mbit/s that is half used a part takes 42 ms, and busy processes read it late.
+const PART_TIMEOUT: u64 = 400 * time::MS;
+/// The timeout of a part is this many times what the last part took, if that is more than
+/// [`PART_TIMEOUT`]: on a slow link requests to other sources only add copies.
+const TIMEOUT_FACTOR: u64 = 2;
+/// Each timeout doubles the next one until a part arrives, up to this many times.
+const MAX_DOUBLINGS: u32 = 3;
+/// How many sources that did not answer are stored inline. They are skipped until all sources have
+/// failed to answer.
+const INLINE_TRIED: usize = 4;
 
-/// What an answer is good for.
+/// Result of taking a part.
 #[derive(Debug, PartialEq)]
 pub enum Taken {
-    /// The next part is to be asked for.
+    /// The configuration is incomplete; the next part has to be requested.
     More(Ask),
-    /// The configuration is whole.
+    /// The configuration is complete.
     Whole(Document),
-    /// It was not asked for.
+    /// The part does not continue the download, or is empty before the end.
     Unneeded,
 }
 
-/// The part of `document` that was asked for; nothing if it is older.
+/// The part of `document` that `ask` requests, or `None` if `document` is older. A newer document
+/// is sent from its first byte.
 pub fn part(document: &Document, ask: Ask) -> Option<Part> {
     if document.version < ask.version {
         return None;
@@ -48,32 +51,32 @@
         version: document.version,
         size: document.body.len() as u64,
         offset: offset as u64,
-        bytes: rest.slice(..rest.len().min(PART)),
+        bytes: rest.slice(..rest.len().min(PART_SIZE)),
     })
 }
 
-/// A configuration that is being fetched, if one is.
+/// The download of a configuration, if one is in progress.
 #[derive(Debug, Default)]
 pub struct Fetch {
     version: u64,
-    held: Vec<u8>,
+    received: Vec<u8>,
     source: Option<name::Name>,
-    asked: u64,
-    /// When the part that is under way was asked for first, if it was.
-    began: Option<u64>,
+    asked_at: u64,
+    /// When the current part was first requested, if it was.
+    first_asked: Option<u64>,
     /// Time that the last part took, microseconds.
-    took: u64,
-    late: u32,
-    tried: smallvec::SmallVec<[name::Name; TRIED]>,
+    part_time: u64,
+    timeouts: u32,
+    tried: smallvec::SmallVec<[name::Name; INLINE_TRIED]>,
 }
 
 impl Fetch {
-    /// Whether somebody is to be asked for `version`.
+    /// Whether `version` has to be requested from a source now.
     pub fn is_due(&self, version: u64, now: u64) -> bool {
-        version > self.version || self.source.is_none() || now >= self.asked + self.patience()
+        version > self.version || self.source.is_none() || now >= self.asked_at + self.timeout()
     }
 
-    /// Asks the first of `sources` that has not been tried in vain for `version`.
+    /// Requests `version` from the first of `sources` that has not failed to answer.
     pub fn begin(
         &mut self,
         version: u64,
@@ -84,16 +87,16 @@
             *self = Self { version, ..Self::default() };
         } else if let Some(former) = self.source.take() {
             self.tried.push(former);
-            self.late += 1;
+            self.timeouts += 1;
         }
         if sources.iter().all(|source| self.tried.contains(source)) {
             self.tried.clear();
         }
         let source = sources.iter().find(|source| !self.tried.contains(source))?;
         self.source = Some((*source).clone());
-        self.began.get_or_insert(now);
-        self.asked = now;
-        Some(((*source).clone(), self.ask()))
+        self.first_asked.get_or_insert(now);
+        self.asked_at = now;
+        Some(((*source).clone(), self.next_ask()))
     }
 
     /// Takes a part from `from`.
@@ -101,36 +104,36 @@
         if part.version > self.version && part.offset == 0 {
             *self = Self { version: part.version, ..Self::default() };
         }
-        if part.version != self.version || part.offset != self.held.len() as u64 {
+        if part.version != self.version || part.offset != self.received.len() as u64 {
             return Taken::Unneeded;
         }
-        self.held.extend_from_slice(&part.bytes);
-        if part.bytes.is_empty() && part.size > self.held.len() as u64 {
-            // A source that has nothing more of what is not whole.
+        self.received.extend_from_slice(&part.bytes);
+        if part.bytes.is_empty() && part.size > self.received.len() as u64 {
+            // The source has no more bytes although the configuration is incomplete.
             return Taken::Unneeded;
         }
-        if self.held.len() as u64 >= part.size {
-            let body = std::mem::take(self).held.into();
+        if self.received.len() as u64 >= part.size {
+            let body = std::mem::take(self).received.into();
             return Taken::Whole(Document { version: part.version, body });
         }
         self.source = Some(from.clone());
-        self.took = self.began.map_or(0, |began| now.saturating_sub(began));
-        (self.asked, self.began, self.late) = (now, Some(now), 0);
-        Taken::More(self.ask())
+        self.part_time = self.first_asked.map_or(0, |asked| now.saturating_sub(asked));
+        (self.asked_at, self.first_asked, self.timeouts) = (now, Some(now), 0);
+        Taken::More(self.next_ask())
     }
 
-    /// Drops what is fetched if it is not newer than `version`.
+    /// Cancels the download if its version is not newer than `version`.
     pub fn drop_older(&mut self, version: u64) {
         if self.version <= version {
             *self = Self::default();
         }
     }
 
-    fn patience(&self) -> u64 {
-        PATIENCE.max(PACE * self.took) << self.late.min(MOST)
+    fn timeout(&self) -> u64 {
+        PART_TIMEOUT.max(TIMEOUT_FACTOR * self.part_time) << self.timeouts.min(MAX_DOUBLINGS)
     }
 
-    fn ask(&self) -> Ask {
-        Ask { version: self.version, offset: self.held.len() as u64 }
+    fn next_ask(&self) -> Ask {
+        Ask { version: self.version, offset: self.received.len() as u64 }
     }
 }
--- a/crates/dispatch/src/leadership.rs
+++ b/crates/dispatch/src/leadership.rs
@@ -1,8 +1,8 @@
-//! Who schedules a zone.
+//! Election of the scheduler of a zone.
 //!
-//! A claim needs no majority: two schedulers at a time cost work but harm nothing, because each
-//! upstream takes orders of the highest fencing token only, and the token of a later claim is
-//! higher. So a zone that is cut in pieces goes on with whatever pieces it has.
+//! A claim needs no majority: two schedulers at the same time cost work but do no harm, because
+//! each upstream accepts orders with the highest fencing token only, and the token of a later claim
+//! is higher. A zone that a network partition splits therefore goes on in each of its parts.
 
 use std::collections;
 
@@ -13,65 +13,73 @@
     evacuation, member, membership, time,
 };
 
-/// An instance that starts waits this long for an older scheduler to be heard of, microseconds.
-/// First heartbeats are answered at once: that takes some 30 ms, and 130 ms where a stream has to
-/// be dialled twice. After a loss of everything nobody serves meanwhile.
-const SETTLE: u64 = 150 * time::MS;
-/// An entry that starts without a configuration, or without an upstream that it knows of, could serve no
-/// client, and has met nobody who could tell it; one that has too little processor time for its zone serves
-/// it badly. They let keepers go first for this long, microseconds: after a loss of power everywhere entries are
-/// back up to 400 ms before the keepers.
-const UNSET: u64 = 1_000 * time::MS;
-/// A claim that is news stands for this long, microseconds, whether or not its holder is heard yet: two
-/// heartbeats. Without it instances that start together go above one another before they have met.
-const NEWS: u64 = 300 * time::MS;
-/// The same for an entry that has too little processor time for the zone, microseconds: after a restart of
-/// everything it met the keeper of its zone 330 ms after it had heard of that one's claim.
-const WEAK_NEWS: u64 = 1_000 * time::MS;
-/// Each better candidate gets this much longer to claim first, microseconds: two heartbeats.
-const TURN: u64 = 300 * time::MS;
-/// An instance that hears nobody of its zone although there are others claims only after this
-/// time more, microseconds: they may well have a scheduler.
-const ALONE: u64 = 1_000 * time::MS;
-/// An instance that found upstreams owned by somebody whom it does not hear leaves them alone this
-/// long, microseconds: longer than most cuts.
-const BARRED: u64 = 10_000 * time::MS;
-/// A keeper takes its zone back from an entry that it has heard for this long, microseconds:
-/// entries have a third of a keeper's processor time, and clients of their own. A keeper that
-/// comes and goes would cost the zone a takeover (some 50 ms) each time.
-const TAKE_BACK: u64 = 1_000 * time::MS;
-/// A keeper leaves other zones alone this long after its start, microseconds: their own keepers may start
-/// with it.
-const ACQUAINTED: u64 = 2_000 * time::MS;
-/// An epoch that was refused is raised by this much, more than clocks differ, milliseconds.
-const LEAP: u64 = 60_000;
+/// An instance that starts waits this long for news of an existing scheduler, microseconds.
+/// Instances answer first heartbeats at once: that takes some 30 ms, and 130 ms where a stream has
+/// to be dialled twice. After a loss of the whole system no instance serves clients in this time.
+const STARTUP_WAIT: u64 = 150 * time::MS;
+/// An entry that starts without a configuration, or without knowing an upstream, could not serve
+/// any client, and has not met an instance that could inform it. An entry that has too little
+/// processor time for its zone serves it badly. Both let keepers claim first for this long,
+/// microseconds: after a power loss of the whole system entries are back up to 400 ms before the
+/// keepers.
+const UNFIT_WAIT: u64 = 1_000 * time::MS;
+/// An instance respects a claim for this long after it received it, microseconds, even if the
+/// holder's heartbeats do not arrive yet: two heartbeats. Without this time instances that start
+/// together would outbid one another's claims before they have met.
+const CLAIM_GRACE: u64 = 300 * time::MS;
+/// [`CLAIM_GRACE`] of an entry that has too little processor time for the zone, microseconds: after
+/// a restart of the whole system such an entry met the keeper of its zone 330 ms after it had
+/// received that keeper's claim.
+const WEAK_GRACE: u64 = 1_000 * time::MS;
+/// An instance waits this long for each candidate that ranks before it, microseconds: two
+/// heartbeats.
+const RANK_DELAY: u64 = 300 * time::MS;
+/// An instance that receives heartbeats from no other instance of its zone, although there are
+/// some, waits this much longer before it claims, microseconds: the others may well have a
+/// scheduler.
+const ISOLATED_DELAY: u64 = 1_000 * time::MS;
+/// An instance does not claim a zone for this long after it found that the zone's upstreams belong
+/// to a scheduler whose heartbeats it does not receive, microseconds: longer than most network
+/// partitions.
+const STAND_DOWN_TIME: u64 = 10_000 * time::MS;
+/// A keeper reclaims its zone from an entry after it has received the entry's heartbeats for this
+/// long, microseconds: entries have a third of a keeper's processor time, and clients of their own.
+/// Without the delay a keeper whose connection comes and goes would cost the zone a takeover (some
+/// 50 ms) each time.
+const RECLAIM_DELAY: u64 = 1_000 * time::MS;
+/// A keeper claims no other zones for this long after its start, microseconds: the keepers of those
+/// zones may be starting at the same time.
+const ADOPTION_WAIT: u64 = 2_000 * time::MS;
+/// After an upstream refused an epoch the instance raises it by this much, milliseconds. Clocks
+/// differ by less.
+const EPOCH_JUMP: u64 = 60_000;
 
-/// How an instance stands that may claim its zone.
+/// What decides whether an instance may claim its zone, and how soon.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// Whether it schedules the zone already.
     pub schedules: bool,
-    /// Whether it has a configuration and knows an upstream of the zone: without them there is nothing to
-    /// schedule.
+    /// Whether it has a configuration and knows an upstream of the zone: without both there is
+    /// nothing to schedule.
     pub equipped: bool,
     /// Whether scheduling the zone would take more processor time than it has.
     pub weak: bool,
 }
 
-/// How an instance goes about a claim to one zone.
+/// What an instance records to decide when it claims a zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct Candidacy {
-    /// Since when nobody is heard who schedules it.
-    vacant: Option<u64>,
-    /// Since when an instance has it that is not a keeper of the zone.
-    lent: Option<u64>,
-    /// Until when it is left to others.
-    blocked: u64,
-    /// When the highest claim was heard of.
-    heard: Option<u64>,
+    /// Since when this instance has received no heartbeats of a scheduler of the zone.
+    vacant_since: Option<u64>,
+    /// Since when the scheduler of the zone is an instance that is not a keeper of it.
+    lent_since: Option<u64>,
+    /// Until when this instance does not claim the zone.
+    blocked_until: u64,
+    /// When this instance received the highest claim.
+    claim_received: Option<u64>,
 }
 
-/// The highest claims that an instance has heard of.
+/// The highest claim to each zone that an instance has received.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
     highest: collections::BTreeMap<name::Name, Claim>,
@@ -79,7 +87,7 @@
 }
 
 impl Claims {
-    /// Takes a claim; true if it is the highest for its zone now.
+    /// Merges a claim; returns true if it is the highest for its zone now.
     pub fn merge(&mut self, claim: &Claim, now: u64) -> bool {
         let key = |claim: &Claim| (claim.epoch, claim.holder.clone());
         let held = self.highest.get(&claim.zone);
@@ -87,24 +95,25 @@
             return false;
         }
         self.highest.insert(claim.zone.clone(), claim.clone());
-        self.candidacy(&claim.zone).heard = Some(now);
+        self.candidacy(&claim.zone).claim_received = Some(now);
         true
     }
 
-    /// The claim to a zone.
+    /// The highest claim to a zone.
     pub fn of(&self, zone: &name::Name) -> Option<&Claim> {
         self.highest.get(zone)
     }
 
-    /// All claims.
+    /// The highest claims to all zones.
     pub fn iter(&self) -> impl Iterator<Item = &Claim> {
         self.highest.values()
     }
 
-    /// The schedulers that an instance of `zone` keeps in touch with: its own, and the one of the
-    /// next zone, where jobs go for which there is no room at home. With all of them, heartbeats
-    /// would grow with the product of zones and instances. Where its own zone is evacuated it needs
-    /// the room of all others.
+    /// Claims of the schedulers that an instance of `zone` exchanges heartbeats with: that of its
+    /// own zone, and that of the next zone, which takes the jobs that its own zone has no room for.
+    /// With the schedulers of all zones, the number of heartbeats would grow with the product of
+    /// zones and instances. If its own zone is evacuated the instance needs the room of all other
+    /// zones.
     pub fn watched<'a>(
         &'a self,
         zone: &'a name::Name,
@@ -121,12 +130,13 @@
         self.of(zone).into_iter().chain(next)
     }
 
-    /// Whether the scheduler of `zone` is heard.
+    /// Whether the holder of the highest claim to `zone` is alive and not draining.
     pub fn is_led(&self, zone: &name::Name, membership: &membership::Membership, now: u64) -> bool {
         self.of(zone).is_some_and(|claim| membership.holds(claim, now))
     }
 
-    /// Claims the zone of `me` if nobody of it hears a scheduler and it is this instance's turn.
+    /// Claims this instance's own zone if no instance of the zone receives heartbeats of a
+    /// scheduler and every candidate that ranks before this one has had its time to claim.
     pub fn campaign(
         &mut self,
         membership: &membership::Membership,
@@ -135,39 +145,41 @@
     ) -> Option<Claim> {
         let me = membership.me();
         let zone = &me.zone;
-        if self.is_take_back_due(membership, now.mono) {
-            return Some(self.raise(me, zone, now));
+        if self.is_reclaim_due(membership, now.mono) {
+            return Some(self.issue_claim(me, zone, now));
         }
-        // A claim of its own that others remember and that it does not stand by any more.
-        let disused = !candidate.schedules && self.is_own(me, zone);
+        // Other instances still report this instance's own claim, but it does not schedule the zone
+        // any more.
+        let abandoned = !candidate.schedules && self.is_holder(me, zone);
         let led = self.is_led(zone, membership, now.mono) || membership.zone_peer_is_led(now.mono);
-        let led = led && !disused;
+        let led = led && !abandoned;
         let entry = me.role == member::Role::Entry;
         let unfit = entry && (!candidate.equipped || candidate.weak);
-        let settled = membership.start() + if unfit { UNSET } else { SETTLE };
-        let news = if entry && candidate.weak { WEAK_NEWS } else { NEWS };
+        let earliest = membership.start() + if unfit { UNFIT_WAIT } else { STARTUP_WAIT };
+        let grace = if entry && candidate.weak { WEAK_GRACE } else { CLAIM_GRACE };
         let candidacy = self.candidacy(zone);
-        let early = now.mono < settled.max(candidacy.blocked);
-        if led || early || candidacy.is_news(news, now.mono) && !disused {
-            candidacy.vacant = None;
+        let early = now.mono < earliest.max(candidacy.blocked_until);
+        if led || early || candidacy.is_recent(grace, now.mono) && !abandoned {
+            candidacy.vacant_since = None;
             return None;
         }
-        let vacant = *candidacy.vacant.get_or_insert(now.mono);
-        let alone = if membership.is_cut_off(now.mono) { ALONE } else { 0 };
-        // A keeper of another zone has more to spare.
-        let behind = if entry && candidate.weak { TURN } else { 0 };
-        if now.mono < vacant + turn(membership, now.mono) + alone + behind {
+        let vacant = *candidacy.vacant_since.get_or_insert(now.mono);
+        let isolated = if membership.is_cut_off(now.mono) { ISOLATED_DELAY } else { 0 };
+        // A keeper of another zone has more processor time to spare, so it may claim first.
+        let weak_delay = if entry && candidate.weak { RANK_DELAY } else { 0 };
+        if now.mono < vacant + turn(membership, now.mono) + isolated + weak_delay {
             return None;
         }
-        candidacy.vacant = None;
-        Some(self.raise(me, zone, now))
+        candidacy.vacant_since = None;
+        Some(self.issue_claim(me, zone, now))
     }
 
-    /// Claims another zone for a keeper if none is left there who could schedule it as well, and no other
-    /// keeper comes first.
+    /// Claims another zone for this keeper if no instance is left there that could schedule it as
+    /// well, and no keeper that ranks before this one claims it first.
     ///
-    /// The load this answers: 108 upstreams with 870 starts a second, whose keeper is lost. The next in
-    /// rank are entries with 0.12 of a core; keepers of other zones use a sixth of their 0.6.
+    /// This is for the case that a zone of 108 upstreams with 870 starts a second loses its keeper.
+    /// The next instances by rank are entries with 0.12 of a core; keepers of other zones use a
+    /// sixth of their 0.6 cores.
     pub fn adopt(
         &mut self,
         zone: &name::Name,
@@ -176,25 +188,28 @@
         now: time::Now,
     ) -> Option<Claim> {
         let me = membership.me();
-        let led = self.is_led(zone, membership, now.mono) && !self.is_own(me, zone);
-        let early = now.mono < membership.start() + ACQUAINTED;
+        let led = self.is_led(zone, membership, now.mono) && !self.is_holder(me, zone);
+        let early = now.mono < membership.start() + ADOPTION_WAIT;
         let orphan = !schedules && !led && !early && membership.is_orphan(zone, now.mono);
         let candidacy = self.candidacy(zone);
-        if !orphan || now.mono < candidacy.blocked || candidacy.is_news(NEWS, now.mono) {
-            candidacy.vacant = None;
+        if !orphan
+            || now.mono < candidacy.blocked_until
+            || candidacy.is_recent(CLAIM_GRACE, now.mono)
+        {
+            candidacy.vacant_since = None;
             return None;
         }
-        let vacant = *candidacy.vacant.get_or_insert(now.mono);
-        if now.mono < vacant + membership.before(zone, now.mono) as u64 * TURN {
+        let vacant = *candidacy.vacant_since.get_or_insert(now.mono);
+        if now.mono < vacant + membership.before(zone, now.mono) as u64 * RANK_DELAY {
             return None;
         }
-        candidacy.vacant = None;
-        Some(self.raise(me, zone, now))
+        candidacy.vacant_since = None;
+        Some(self.issue_claim(me, zone, now))
     }
 
-    /// Whether this instance is the first keeper of a zone that an entry, or a keeper of another zone,
-    /// has had for long enough.
-    fn is_take_back_due(&mut self, membership: &membership::Membership, now: u64) -> bool {
+    /// Whether this instance is a keeper, ranks first in its zone, and an entry or a keeper of
+    /// another zone has scheduled the zone for at least [`RECLAIM_DELAY`].
+    fn is_reclaim_due(&mut self, membership: &membership::Membership, now: u64) -> bool {
         let me = membership.me();
         let lent = self.of(&me.zone).is_some_and(|claim| {
             let card = membership.peer(&claim.holder).and_then(|peer| peer.card.as_ref());
@@ -205,28 +220,29 @@
         let first = membership.zone_peers(now).all(|card| card.rank() > me.rank());
         let candidacy = self.candidacy(&me.zone);
         if me.role != member::Role::Keeper || !lent || !first {
-            candidacy.lent = None;
+            candidacy.lent_since = None;
             return false;
         }
-        let since = *candidacy.lent.get_or_insert(now);
-        let due = now >= (since + TAKE_BACK).max(candidacy.blocked);
+        let since = *candidacy.lent_since.get_or_insert(now);
+        let due = now >= (since + RECLAIM_DELAY).max(candidacy.blocked_until);
         if due {
-            candidacy.lent = None;
+            candidacy.lent_since = None;
         }
         due
     }
 
-    /// Leaves the zone to a scheduler that is not heard. The own claim is taken back: told on once the
-    /// scheduler is heard again it would outrank that one's, and nobody would schedule the zone.
+    /// Leaves the zone to a scheduler whose heartbeats do not arrive, and withdraws this instance's
+    /// own claim: if other instances received it once that scheduler's heartbeats arrive again, it
+    /// would outrank the scheduler's claim, and no instance would schedule the zone.
     pub fn stand_down(&mut self, me: &member::Card, zone: &name::Name, now: u64) {
-        self.candidacy(zone).blocked = now + BARRED;
-        if self.is_own(me, zone) {
+        self.candidacy(zone).blocked_until = now + STAND_DOWN_TIME;
+        if self.is_holder(me, zone) {
             self.highest.remove(zone);
         }
     }
 
     /// Whether the highest claim to a zone is that of `me`.
-    fn is_own(&self, me: &member::Card, zone: &name::Name) -> bool {
+    fn is_holder(&self, me: &member::Card, zone: &name::Name) -> bool {
         self.of(zone).is_some_and(|claim| claim.holder == me.name)
     }
 
@@ -234,12 +250,12 @@
         self.candidacies.entry(zone.clone()).or_default()
     }
 
-    /// Claims a zone above a scheduler that is not heard of but has a higher fencing token.
+    /// Claims a zone above an unknown scheduler that has a higher fencing token.
     pub fn supersede(&mut self, me: &member::Card, zone: &name::Name, now: time::Now) -> Claim {
-        self.raise(me, zone, time::Now::new(now.mono, now.wall + LEAP))
+        self.issue_claim(me, zone, time::Now::new(now.mono, now.wall + EPOCH_JUMP))
     }
 
-    fn raise(&mut self, me: &member::Card, zone: &name::Name, now: time::Now) -> Claim {
+    fn issue_claim(&mut self, me: &member::Card, zone: &name::Name, now: time::Now) -> Claim {
         let former = self.of(zone).map_or(0, |claim| (claim.epoch >> OWNER_BITS) + 1);
         let owner = xxhash_rust::xxh3::xxh3_64(me.name.as_str().as_bytes()) % NEXT_FENCE;
         let epoch = now.wall.max(former) << OWNER_BITS | owner;
@@ -250,15 +266,16 @@
 }
 
 impl Candidacy {
-    /// Whether the highest claim was first heard of less than `news` ago.
-    fn is_news(&self, news: u64, now: u64) -> bool {
-        self.heard.is_some_and(|heard| now < heard + news)
+    /// Whether this instance received the highest claim less than `grace` ago.
+    fn is_recent(&self, grace: u64, now: u64) -> bool {
+        self.claim_received.is_some_and(|received| now < received + grace)
     }
 }
 
-/// How long this instance lets those that rank before it go first, microseconds.
+/// How long this instance waits for the instances of its zone that rank before it to claim first,
+/// microseconds.
 pub fn turn(membership: &membership::Membership, now: u64) -> u64 {
     let me = membership.me();
     let better = membership.zone_peers(now).filter(|card| card.rank() < me.rank()).count();
-    better as u64 * TURN
+    better as u64 * RANK_DELAY
 }
--- a/crates/dispatch/src/membership.rs
+++ b/crates/dispatch/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which instances there are, and which of them are heard.
+//! Group membership and failure detection.
 //!
-//! Instances find one another through the seeds of their settings and tell each other whom they
-//! know. An instance is *alive* for another while heartbeats arrive in both directions, directly
-//! or relayed by a third one.
+//! Instances discover one another through the seeds in their settings and exchange lists of the
+//! instances that they know. An instance is *alive* for another while heartbeats arrive in both
+//! directions, directly or relayed by a third instance.
 
 use std::collections;
 
@@ -14,63 +14,65 @@
     redial, time, watch_list,
 };
 
-/// Between two heartbeats to the same instance, microseconds. Three of them fit into
-/// [`SILENT`], so that two in a row may be lost.
+/// Interval between two heartbeats to the same instance, microseconds. Three intervals fit into
+/// [`SILENT`], so that two heartbeats in a row may be lost.
 pub const PING: u64 = 150 * time::MS;
-/// After a stop, what is heard within this time was sent before, microseconds.
-const STALE: u64 = 50 * time::MS;
-/// Two digests that differ are followed by the whole list at most this often, microseconds.
-const SYNC: u64 = 500 * time::MS;
-/// An instance answers one that it does not choose itself this long after it was chosen by that
-/// one, microseconds.
-const RETURN: u64 = 1_000 * time::MS;
-
-/// Most instances that one looks for after a restart: each is a name of 20 bytes and an attempt to connect
-/// in 60 ms. Entries that come back before the keepers of their zone have a configuration by that as soon
-/// as any keeper is there.
-const RECALLED: usize = 256;
-
-/// The instances that this one knows.
+/// Heartbeats that arrive within this time after a stop of this instance were sent before the stop
+/// ended, microseconds.
+const STALE_TIME: u64 = 50 * time::MS;
+/// Minimum interval between two whole lists sent to the same instance because its digest differs,
+/// microseconds.
+const SYNC_INTERVAL: u64 = 500 * time::MS;
+/// An instance answers the heartbeats of an instance that it does not choose itself for this long
+/// after that one last chose it, microseconds.
+const ANSWER_TIME: u64 = 1_000 * time::MS;
+
+/// Maximum number of instances that an instance tries to reach after a restart: each costs a name
+/// of 20 bytes and an attempt to connect in 60 ms. Thanks to them entries that come back before the
+/// keepers of their zone have a configuration as soon as any keeper is there.
+const MAX_RECALLED: usize = 256;
+
+/// The instances that this one knows, and when their heartbeats arrived.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: member::Card,
     start: u64,
     seeds: Vec<name::Name>,
     pub(crate) peers: collections::BTreeMap<name::Name, Peer>,
-    forgotten: collections::BTreeMap<name::Name, u64>,
-    distrust: u64,
-    /// When this instance's clock was last found to have stood still.
-    stood: u64,
-    beat: u64,
+    tombstones: collections::BTreeMap<name::Name, u64>,
+    distrust_until: u64,
+    /// When this instance last found that its clock had stood still.
+    clock_resumed: u64,
+    next_heartbeat: u64,
     digest: u64,
     pub(crate) watch_list: watch_list::WatchList,
     window: watch_list::Window,
-    dials: redial::Budget,
+    redial_budget: redial::Budget,
 }
 
 impl Membership {
-    /// A membership that knows the seeds.
+    /// Creates a membership that knows only the seeds and this instance.
     pub fn new(me: member::Card, seeds: &[name::Name], now: u64) -> Self {
         let mut membership = Self {
             me,
             start: now,
             seeds: Vec::new(),
             peers: collections::BTreeMap::new(),
-            forgotten: collections::BTreeMap::new(),
-            distrust: 0,
-            stood: 0,
-            beat: 0,
+            tombstones: collections::BTreeMap::new(),
+            distrust_until: 0,
+            clock_resumed: 0,
+            next_heartbeat: 0,
             digest: 0,
             watch_list: watch_list::WatchList::default(),
             window: watch_list::Window::default(),
-            dials: redial::Budget::new(now),
+            redial_budget: redial::Budget::new(now),
         };
         membership.set_seeds(seeds, now);
         membership.refresh(now);
         membership
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds, and adds unknown ones to the known instances.
     pub fn set_seeds(&mut self, seeds: &[name::Name], now: u64) {
         self.seeds = seeds.iter().filter(|name| **name != self.me.name).cloned().collect();
         for name in self.seeds.clone() {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Looks for instances that it knew before a restart.
+    /// Adds instances by name, such as those known before a restart, so that heartbeats go to them.
     pub fn add_known(&mut self, names: &[name::Name], now: u64) {
         for name in names.iter().filter(|name| **name != self.me.name) {
             let fresh = Peer { since: now, ..Peer::default() };
@@ -87,20 +89,21 @@
         }
     }
 
-    /// Whom an instance looks for after a restart: keepers first, then its zone, then the others by rank.
+    /// The instances to contact after a restart, sorted by name: up to `MAX_RECALLED`, where
+    /// keepers come first, then instances of its zone, then the others by rank.
     pub fn neighbours(&self) -> Vec<name::Name> {
         let cards = self.peers.values().filter_map(|peer| peer.card.as_ref());
         let mut cards: Vec<_> = cards.collect();
         cards.sort_by_key(|card| {
             (card.role != member::Role::Keeper, card.zone != self.me.zone, card.rank())
         });
-        let names = cards.into_iter().take(RECALLED).map(|card| card.name.clone());
+        let names = cards.into_iter().take(MAX_RECALLED).map(|card| card.name.clone());
         let mut names: Vec<_> = names.collect();
         names.sort();
         names
     }
 
-    /// This instance.
+    /// The card of this instance.
     pub fn me(&self) -> &member::Card {
         &self.me
     }
@@ -110,29 +113,30 @@
         self.start
     }
 
-    /// Every other instance that is known.
+    /// Names of all other known instances.
     pub fn names(&self) -> impl Iterator<Item = &name::Name> {
         self.peers.keys()
     }
 
-    /// What is known of an instance.
+    /// The record of a known instance.
     pub fn peer(&self, name: &name::Name) -> Option<&Peer> {
         self.peers.get(name)
     }
 
-    /// What another instance does, if it has introduced itself.
+    /// The role of another instance, if its card is known.
     pub fn role(&self, name: &name::Name) -> Option<member::Role> {
         Some(self.peers.get(name)?.card.as_ref()?.role)
     }
 
-    /// Whether heartbeats of the instance arrive and its answers show that it hears this one.
+    /// Whether heartbeats of the instance arrive and, where they come directly, its echoes show
+    /// that it receives those of this one.
     pub fn is_alive(&self, name: &name::Name, now: u64) -> bool {
         *name == self.me.name || self.peers.get(name).is_some_and(|peer| peer.is_alive(now))
     }
 
-    /// What the clock of an instance that is alive shows at most now, microseconds. How long ago
-    /// the instance said something follows from its stamp. Its last heartbeat would not do: where
-    /// all its messages wait for seconds, that is as old as the rest.
+    /// Upper bound on what the clock of a live instance shows now, microseconds. With it the age of
+    /// a message follows from the sender's time stamp. The last heartbeat would not do as the
+    /// reference: where all messages of the instance wait for seconds, it is as old as the rest.
     pub fn clock(&self, name: &name::Name, now: u64) -> Option<u64> {
         if *name == self.me.name {
             return Some(now);
@@ -141,7 +145,7 @@
         peer.ahead.map(|ahead| ahead.clock(now))
     }
 
-    /// The last heartbeat of an instance, as it is told.
+    /// Summary of the last heartbeat from an instance, to be sent back to it.
     pub fn last_heard(&self, name: &name::Name) -> Option<message::Heard> {
         let peer = self.peers.get(name)?;
         let ping = peer.ping.as_ref()?;
@@ -154,12 +158,13 @@
         Some(message::Heard { life, clock, at: peer.read, upstreams, adopted })
     }
 
-    /// Whether the instance is alive without a relay.
+    /// Whether heartbeats to and from the instance arrive without a relay.
     pub fn is_direct(&self, name: &name::Name, now: u64) -> bool {
         self.peers.get(name).is_some_and(|peer| peer.is_direct(now))
     }
 
-    /// Whether the holder of a claim is alive, in the same life, and stays.
+    /// Whether the holder of a claim is alive, has the incarnation of the claim, and is not
+    /// draining.
     pub fn holds(&self, claim: &claim::Claim, now: u64) -> bool {
         if claim.holder == self.me.name {
             return claim.life == self.me.life;
@@ -170,16 +175,17 @@
         })
     }
 
-    /// All keepers that are known, this instance left out.
+    /// All known keepers except this instance.
     pub fn keepers(&self) -> impl Iterator<Item = &name::Name> {
         let keeper =
             |peer: &Peer| peer.card.as_ref().is_some_and(|card| card.role == member::Role::Keeper);
         self.peers.iter().filter(move |(_, peer)| keeper(peer)).map(|(name, _)| name)
     }
 
-    /// Instances that are heard and have a configuration at least as new as `version`, the best to ask
-    /// first: those heard directly, keepers of this zone, other keepers, and among equals in another
-    /// order at each instance, so that none of them serves all.
+    /// Live instances whose configuration is at least as new as `version`, in the order in which to
+    /// ask them: first those with a direct connection, and among these keepers before entries and
+    /// this zone before others. The order among equals differs from instance to instance, so that
+    /// no source serves all.
     pub fn holders(&self, version: u64, now: u64) -> Vec<&name::Name> {
         let has = |peer: &Peer| peer.ping.as_ref().is_some_and(|ping| ping.version >= version);
         let alive = self.peers.iter().filter(|(_, peer)| peer.is_alive(now) && has(peer));
@@ -194,7 +200,7 @@
         holders.into_iter().map(|(name, _)| name).collect()
     }
 
-    /// Takes a heartbeat; true if it is the first of this life of its sender.
+    /// Records a heartbeat; returns true if it is the first of its sender's incarnation.
     pub fn heard(&mut self, ping: message::Ping, direct: bool, now: u64) -> bool {
         let name = ping.card.name.clone();
         let fresh = Peer { since: now, ..Peer::default() };
@@ -205,7 +211,8 @@
         if ping.card.life < known || peer.ping.as_ref().is_some_and(later) {
             return false;
         }
-        // By its last heartbeat: others may have told of the new life before.
+        // The last heartbeat decides, not the card: the list of another instance may have brought
+        // the new incarnation before.
         let former = peer.ping.as_ref().map(|held| held.card.life);
         let first = former.is_none_or(|life| life < ping.card.life);
         if first {
@@ -213,10 +220,10 @@
         }
         peer.read = now;
         let proof = ping.heard.as_ref().filter(|heard| {
-            heard.life == self.me.life && (self.stood..=now).contains(&heard.clock)
+            heard.life == self.me.life && (self.clock_resumed..=now).contains(&heard.clock)
         });
         peer.compare(proof, ping.clock, now);
-        let trusted = now >= self.distrust;
+        let trusted = now >= self.distrust_until;
         if trusted {
             peer.heard = now;
         }
@@ -230,7 +237,7 @@
             peer.direct = now;
             if ping.echo {
                 let former = std::mem::replace(&mut peer.echoed, now);
-                self.dials.answered(&mut peer.stream, former, now);
+                self.redial_budget.answered(&mut peer.stream, former, now);
             }
         }
         peer.card = Some(ping.card.clone());
@@ -241,10 +248,10 @@
         first
     }
 
-    /// Counts everybody as silent, and what is heard within the next moment as old: it waited
-    /// while this instance was stopped.
+    /// Marks all instances as silent, and treats heartbeats that arrive within the next
+    /// `STALE_TIME` as old: they waited while this instance was stopped.
     pub fn suspect_all(&mut self, now: u64) {
-        self.distrust = now + STALE;
+        self.distrust_until = now + STALE_TIME;
         self.stood_still(now);
         for peer in self.peers.values_mut() {
             peer.heard = 0;
@@ -253,18 +260,19 @@
         }
     }
 
-    /// This instance's clock stood still until now: what is known of others' clocks is void, and
-    /// so is what they heard of this one before.
+    /// Handles that this instance's clock stood still until now: the bounds on the clocks of other
+    /// instances are invalid, and so are their reports of earlier heartbeats of this one.
     pub fn stood_still(&mut self, now: u64) {
-        self.stood = now;
+        self.clock_resumed = now;
         for peer in self.peers.values_mut() {
             peer.ahead = None;
         }
     }
 
-    /// Takes a higher life than any that others know of this instance or have forgotten, and tells
-    /// whether it had to: the time of day was set back since the former began, or this one stood
-    /// still for so long that nobody would believe it.
+    /// Raises this instance's incarnation above any that other instances know or have forgotten,
+    /// and returns whether that was necessary: the time of day was set back since the former
+    /// incarnation began, or this instance stood still for so long that the others have forgotten
+    /// it and would not accept it.
     pub fn raise_life(
         &mut self,
         cards: &[member::Card],
@@ -281,8 +289,8 @@
         true
     }
 
-    /// Learns of instances that another one knows or has forgotten; gives those that are forgotten
-    /// here, too, by that.
+    /// Merges the list of instances that another one knows or has forgotten; returns those that
+    /// this instance forgets, too, for that reason.
     pub fn learn(
         &mut self,
         cards: Vec<member::Card>,
@@ -300,12 +308,12 @@
                 lost.push(name.clone());
             }
             if !self.peers.contains_key(&name) {
-                let held = self.forgotten.entry(name).or_default();
+                let held = self.tombstones.entry(name).or_default();
                 *held = life.max(*held);
             }
         }
         for card in cards {
-            let stale = self.forgotten.get(&card.name).is_some_and(|life| card.life <= *life);
+            let stale = self.tombstones.get(&card.name).is_some_and(|life| card.life <= *life);
             if card.name == self.me.name || stale {
                 continue;
             }
@@ -319,19 +327,20 @@
         lost
     }
 
-    /// Whether an instance that is known was forgotten in this life: others do not learn of it.
+    /// Whether a known instance was forgotten in its present incarnation, so that other instances
+    /// do not accept it from a list.
     pub fn is_forgotten(&self, name: &name::Name) -> bool {
         let life = self.peers.get(name).and_then(|peer| Some(peer.card.as_ref()?.life));
-        let last = self.forgotten.get(name);
+        let last = self.tombstones.get(name);
         last.is_some_and(|last| life.is_some_and(|life| life <= *last))
     }
 
-    /// The instances that were forgotten, with their last life.
+    /// The forgotten instances, each with its last incarnation.
     pub fn gone(&self) -> Vec<(name::Name, u64)> {
-        self.forgotten.iter().map(|(name, life)| (name.clone(), *life)).collect()
+        self.tombstones.iter().map(|(name, life)| (name.clone(), *life)).collect()
     }
 
-    /// Every instance that introduced itself, this one included.
+    /// The cards of all known instances, including this one.
     pub fn cards(&self) -> Vec<member::Card> {
         let others = self.peers.values().filter_map(|peer| peer.card.clone());
         others.chain([self.me.clone()]).collect()
@@ -342,7 +351,7 @@
         self.digest
     }
 
-    /// Works out anew what follows from who there is.
+    /// Recomputes the digest and the watch list, which follow from the list of instances.
     fn refresh(&mut self, now: u64) {
         let one = |name: &name::Name, life: u64| {
             xxhash_rust::xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), life)
@@ -355,66 +364,72 @@
             let ought = peer.card.as_ref().is_none_or(|card| self.watch_list.ought(&self.me, card));
             let ought_before = std::mem::replace(&mut peer.ought, ought);
             if ought && !ought_before {
-                // Its silence counts from here on.
+                // The time of its silence counts from now.
                 peer.since = now;
             }
         }
     }
 
-    /// Whether this instance is to hear `card` in any case.
+    /// Whether the watch list says that this instance monitors the instance of `card`.
     pub(crate) fn is_watched(&self, card: &member::Card) -> bool {
         self.watch_list.hears(&self.me, card, self.window.size())
     }
 
-    /// Whether instances are so few that everybody hears its zone and all keepers.
+    /// Whether there are so few instances that each monitors all instances of its zone and all
+    /// keepers.
     pub fn is_few(&self) -> bool {
         self.watch_list.is_few()
     }
 
-    /// Whether an instance hears of the upstreams of a zone without scheduling it.
+    /// Whether an instance receives news of a zone's upstreams without scheduling the zone.
     pub fn is_told(&self, card: &member::Card, zone: &name::Name) -> bool {
         self.watch_list.is_told(card, zone)
     }
 
-    /// Hears more of the zone while nobody is heard who schedules it. `leads` says that this
-    /// instance does.
+    /// Monitors more instances of the zone while the zone has no known scheduler. `leads` says that
+    /// this instance schedules it.
     pub fn widen(&mut self, leads: bool, led: bool, now: u64) {
         let knows = leads || self.me.role == member::Role::Keeper;
         self.window.set(knows, led, self.start + SILENT, now);
     }
 
-    /// Whether this instance wants to hear another one; `used` says that it works with it.
+    /// Whether this instance wants heartbeats from another one; `used` says that it works with that
+    /// one.
     pub fn is_chosen(&self, name: &name::Name, used: bool) -> bool {
         let near = |peer: &Peer| peer.card.as_ref().is_none_or(|card| self.is_watched(card));
         used || self.peers.get(name).is_some_and(near)
     }
 
-    /// Whether the whole list of instances is due to one whose digest of it differs.
+    /// Whether to send the whole list of instances now to an instance whose digest of the list
+    /// differs. If so, the list counts as sent.
     pub fn is_sync_due(&mut self, name: &name::Name, now: u64) -> bool {
-        // At a start of everything who is known grows with each message; what there is after a while
-        // is worth sending.
-        let settled = now >= self.start + SYNC;
-        settled && self.peers.get_mut(name).is_some_and(|peer| is_due(&mut peer.synced, now))
+        // When the whole system starts the list grows with each message, so it is worth sending
+        // only after a while.
+        let settled = now >= self.start + SYNC_INTERVAL;
+        settled && self.peers.get_mut(name).is_some_and(|peer| take_due(&mut peer.synced, now))
     }
 
-    /// The same of upstreams. These differ a message later than instances after a restart, since who
-    /// does not know an instance does not tell it a digest of its zone.
+    /// Whether to send the whole list of upstreams now to an instance whose digest of the list
+    /// differs. If so, the list counts as sent. After a restart this list differs one message later
+    /// than that of instances, since an instance sends no digest of a zone to an instance that it
+    /// does not know.
     pub fn is_listing_due(&mut self, name: &name::Name, now: u64) -> bool {
-        self.peers.get_mut(name).is_some_and(|peer| is_due(&mut peer.listed, now))
+        self.peers.get_mut(name).is_some_and(|peer| take_due(&mut peer.listed, now))
     }
 
-    /// The instances that a heartbeat is due to. `used` says whom this instance works with.
+    /// The instances to which to send a heartbeat now. `used` says which instances this one works
+    /// with.
     pub fn due(&mut self, used: impl Fn(&name::Name) -> bool, now: u64) -> Vec<name::Name> {
-        if now < self.beat {
+        if now < self.next_heartbeat {
             return Vec::new();
         }
-        // All at once: one wake-up of the sender serves them all.
-        self.beat = now + PING;
+        // All heartbeats go at once: one wake-up of the sender serves them all.
+        self.next_heartbeat = now + PING;
         let mut due = Vec::new();
         for (name, peer) in &mut self.peers {
             let near = peer.card.as_ref();
             let near = near.is_none_or(|c| self.watch_list.hears(&self.me, c, self.window.size()));
-            let answered = peer.chosen > 0 && now < peer.chosen + RETURN;
+            let answered = peer.chosen > 0 && now < peer.chosen + ANSWER_TIME;
             if near || answered || used(name) {
                 peer.due.get_or_insert(now);
                 peer.answers = !near && !used(name);
@@ -426,48 +441,49 @@
         due
     }
 
-    /// Whether the instance was heard directly lately, as its heartbeats are to be told.
+    /// Whether a heartbeat came directly from the instance within [`SILENT`]. Heartbeats to that
+    /// instance report this.
     pub fn echo(&self, name: &name::Name, now: u64) -> bool {
         self.peers.get(name).is_some_and(|peer| peer.direct > 0 && now < peer.direct + SILENT)
     }
 
-    /// Streams that seem to carry nothing any more and that may be dialled anew now.
+    /// Instances whose streams seem dead and may be dialled again now.
     pub fn unresponsive(&mut self, now: u64) -> Vec<name::Name> {
-        self.dials.refill(now);
+        self.redial_budget.refill(now);
         let own = short(&self.me.name);
         let streams = || self.peers.values().filter_map(|peer| peer.answered(now));
         let silent = streams().filter(|answered| redial::is_silent(*answered, now)).count();
         let most = silent * 2 >= streams().count();
-        let mut mute = Vec::new();
+        let mut dead = Vec::new();
         for (name, peer) in &mut self.peers {
             let Some(answered) = peer.answered(now) else { continue };
             if peer.stream.is_due(answered, most, short(name) ^ own, now)
-                && self.dials.spend(&mut peer.stream, now)
+                && self.redial_budget.spend(&mut peer.stream, now)
             {
-                mute.push(name.clone());
+                dead.push(name.clone());
             }
         }
-        mute
+        dead
     }
 
-    /// Streams that were dialled anew so far.
+    /// How many times streams were dialled again so far.
     pub fn redials(&self) -> u64 {
-        self.dials.count()
+        self.redial_budget.count()
     }
 
-    /// Forgets instances that are gone for long, and names them. Of those that it need not hear
-    /// this instance learns from the others.
+    /// Forgets monitored instances that have been silent for `FORGET`, and returns their names.
+    /// The loss of instances that this one does not monitor comes from the lists of others.
     pub fn forget(&mut self, now: u64) -> Vec<name::Name> {
         let seeds = &self.seeds;
         let gone = |(name, peer): (&name::Name, &Peer)| {
-            let last = peer.heard.max(peer.since).max(self.distrust);
+            let last = peer.heard.max(peer.since).max(self.distrust_until);
             let due = now >= last + FORGET && peer.ought && !seeds.contains(name);
             due.then(|| name.clone())
         };
         let gone: Vec<_> = self.peers.iter().filter_map(gone).collect();
         for name in &gone {
             let life = self.peers.remove(name).and_then(|peer| peer.card).map(|card| card.life);
-            self.forgotten.insert(name.clone(), life.unwrap_or(0));
+            self.tombstones.insert(name.clone(), life.unwrap_or(0));
         }
         if !gone.is_empty() {
             self.refresh(now);
@@ -476,9 +492,9 @@
     }
 }
 
-/// Whether something is due that was last done at `last`, if ever; it counts as done then.
-fn is_due(last: &mut Option<u64>, now: u64) -> bool {
-    let due = last.is_none_or(|last| now >= last + SYNC);
+/// Whether an action last done at `last`, if ever, is due again. If so, it counts as done now.
+fn take_due(last: &mut Option<u64>, now: u64) -> bool {
+    let due = last.is_none_or(|last| now >= last + SYNC_INTERVAL);
     if due {
         *last = Some(now);
     }
--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -1,4 +1,4 @@
-//! An instance's talk with the others: heartbeats and what follows from them, and the messages.
+//! Communication with other instances: heartbeats and their handling, and the other messages.
 
 use state::name;
 
@@ -13,20 +13,20 @@
 };
 
 impl Core {
-    /// Sends the heartbeats that are due, also through a third instance where the direct way is
-    /// silent.
+    /// Sends the heartbeats that are due, and copies of them through a third instance where the
+    /// direct path is silent.
     pub(crate) fn beat(&mut self, now: Now) {
         let zone = self.membership.me().zone.clone();
         let led = self.claims.is_led(&zone, &self.membership, now.mono);
         self.membership.widen(self.is_scheduler(), led, now.mono);
-        let used = self.used(led);
-        let due = self.membership.due(|name| used.contains(name), now.mono);
+        let partners = self.partners(led);
+        let due = self.membership.due(|name| partners.contains(name), now.mono);
         if due.is_empty() {
             return;
         }
         let ping = self.ping(now);
         for to in due {
-            let chosen = self.membership.is_chosen(&to, used.contains(&to));
+            let chosen = self.membership.is_chosen(&to, partners.contains(&to));
             let ping = self.address_ping(Ping { chosen, ..ping.clone() }, &to, now);
             let body = Body::Ping(Box::new(ping));
             if let Some(relay) = self.membership.relay(&to, now.mono).cloned() {
@@ -38,9 +38,10 @@
         }
     }
 
-    /// The schedulers that this instance works with: the one of its zone, those that have jobs of
-    /// its clients, and, where it might need room there, the one of the next zone.
-    fn used(&self, led: bool) -> Vec<name::Name> {
+    /// The instances that this one works with: the scheduler of its zone, the schedulers that have
+    /// jobs of its clients, the scheduler of the next zone if it might need room there, and the
+    /// entries of the zones that it may have to schedule.
+    fn partners(&self, led: bool) -> Vec<name::Name> {
         let zone = &self.membership.me().zone;
         let next = self.membership.is_few()
             || !led
@@ -55,8 +56,9 @@
         watched.chain(self.submissions.schedulers().cloned()).chain(backed).collect()
     }
 
-    /// Entries that a keeper hears of zones that it may have to schedule: of those that are without a
-    /// scheduler, and of those where it comes first if their keepers are lost.
+    /// Entries of other zones that a keeper monitors because it may have to schedule their zones:
+    /// zones without a scheduler, and zones where this keeper comes first if their keepers are
+    /// lost.
     pub(crate) fn work_out_backed(&self, now: Now) -> Vec<name::Name> {
         let me = self.membership.me();
         if me.role != member::Role::Keeper || self.membership.is_few() {
@@ -70,7 +72,7 @@
         wanted.flat_map(|zone| self.membership.hubs(zone)).collect()
     }
 
-    /// A heartbeat, but for what depends on its receiver.
+    /// Builds a heartbeat without the fields that depend on its receiver.
     pub(crate) fn ping(&self, now: Now) -> Ping {
         let zone = &self.membership.me().zone;
         Ping {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// The zones besides its own that this instance schedules.
+    /// The zones other than its own that this instance schedules.
     fn adopted(&self, now: Now) -> Adopted {
         let home = &self.membership.me().zone;
         let others = self.zones.iter().filter(|(name, _)| *name != home);
@@ -106,7 +108,7 @@
         others.filter_map(adopted_zone).collect()
     }
 
-    /// Takes a message; `direct` says that it came from its sender without a relay.
+    /// Handles a message; `direct` says that it came from its sender without a relay.
     pub(crate) fn on_peer(&mut self, from: &name::Name, body: Body, direct: bool, now: Now) {
         match body {
             Body::Ping(ping) => self.on_ping(*ping, direct, now),
@@ -114,7 +116,7 @@
                 if self.membership.raise_life(&cards, &gone, now.mono) {
                     let life = self.membership.me().life.to_string();
                     self.note(
-                        "node: A former life had a later clock, taking a higher one.",
+                        "node: A former incarnation had a later clock, taking a higher one.",
                         from,
                         life,
                     );
@@ -184,7 +186,7 @@
         self.zones.get_mut(zone)?.sched.as_mut()
     }
 
-    /// Takes a job, if this instance schedules the zone that it is for.
+    /// Takes a job, if this instance schedules the zone of the job.
     pub(crate) fn on_submit(
         &mut self,
         from: &name::Name,
@@ -208,19 +210,20 @@
         sched.hand_over(job, from, handover, now.mono);
     }
 
-    /// Takes note of the upstreams that another instance knows by a heartbeat of this one.
-    fn learn_sets(&mut self, from: &name::Name, heard: &Heard) {
+    /// Records the upstreams that another instance knows from a heartbeat of this one: `heard`
+    /// acknowledges that heartbeat.
+    fn record_sets(&mut self, from: &name::Name, heard: &Heard) {
         let home = self.membership.me().zone.clone();
         for (name, zone) in &mut self.zones {
             let Some(sched) = &mut zone.sched else { continue };
-            let told = heard.set(name, &home).and_then(|digest| zone.directory.find(digest));
-            if let Some(number) = told {
+            let known = heard.set(name, &home).and_then(|digest| zone.directory.find(digest));
+            if let Some(number) = known {
                 sched.learn(from, number);
             }
         }
     }
 
-    /// Takes a heartbeat, and asks for what the sender knows better.
+    /// Handles a heartbeat, and asks for what the sender has in a newer version.
     pub(crate) fn on_ping(&mut self, ping: Ping, direct: bool, now: Now) {
         let from = ping.card.name.clone();
         if from == self.membership.me().name {
@@ -239,32 +242,35 @@
         for adopted_zone in &ping.adopted {
             self.submissions.load(&adopted_zone.zone, adopted_zone.load, now.mono);
         }
-        let told = ping.heard.clone();
+        let ack = ping.heard.clone();
         let (version, members, records) = (ping.version, ping.members, ping.records);
-        let held = self.membership.last_heard(&from).map(|heard| (heard.upstreams, heard.adopted));
+        let former =
+            self.membership.last_heard(&from).map(|heard| (heard.upstreams, heard.adopted));
         if self.membership.heard(ping, direct, now.mono) {
             self.note("peer: Heard.", &from, String::new());
-            // It has just started: what it lacks comes with the answer to this.
+            // The sender has just started; the answer to its heartbeat brings what it lacks.
             self.beat_now(&from, now);
             if version == 0 {
                 self.give_document(&from, now);
             }
             self.scheds_mut().for_each(|sched| sched.forget_entry(&from));
         }
-        if let Some(heard) = told {
-            self.learn_sets(&from, &heard);
+        if let Some(heard) = ack {
+            self.record_sets(&from, &heard);
         }
-        // A scheduler waits to hear that its new upstreams are known here: 165 ms at most instead of
-        // 325 (`doubled::soon_used`).
+        // A scheduler waits until it learns that this instance knows its new upstreams. A heartbeat
+        // at once makes that 165 ms at most instead of 325 (`doubled::soon_used`).
         let is_scheduler = self.claims.iter().any(|claim| claim.holder == from);
-        let told = self.membership.last_heard(&from).map(|heard| (heard.upstreams, heard.adopted));
-        if is_scheduler && held.is_some() && held != told {
+        let latest =
+            self.membership.last_heard(&from).map(|heard| (heard.upstreams, heard.adopted));
+        if is_scheduler && former.is_some() && former != latest {
             self.beat_now(&from, now);
         }
-        self.hear_version(version, now);
+        self.note_version(version, now);
         let zone = self.membership.me().zone.clone();
-        let strange = members != self.membership.digest() || self.membership.is_forgotten(&from);
-        if strange && self.membership.is_sync_due(&from, now.mono) {
+        let sync_needed =
+            members != self.membership.digest() || self.membership.is_forgotten(&from);
+        if sync_needed && self.membership.is_sync_due(&from, now.mono) {
             self.send(&from, Body::Members(self.membership.cards(), self.membership.gone()), now);
         }
         let differs = records.is_some_and(|digest| digest != self.table.digest(&zone));
@@ -275,8 +281,9 @@
         self.yield_to_higher();
     }
 
-    /// Introduces this instance to a scheduler that it knows by its claim only: after a restart of everything
-    /// lists of instances come 500 ms later, and jobs wait for a scheduler that is heard.
+    /// Sends a heartbeat to a scheduler that this instance knows by its claim only: after a restart
+    /// of the whole system lists of instances come 500 ms later, and jobs wait for a scheduler
+    /// whose heartbeats arrive.
     fn introduce(&mut self, holder: &name::Name, now: Now) {
         let me = &self.membership.me().name;
         if holder != me && self.membership.peer(holder).is_none() {
@@ -285,7 +292,7 @@
         }
     }
 
-    /// Takes news of upstreams.
+    /// Merges records of upstreams.
     pub(crate) fn on_records(&mut self, records: Vec<upstream::Record>) {
         for record in records {
             if let Some(held) = self.table.take(record) {
@@ -294,7 +301,8 @@
         }
     }
 
-    /// Takes the upstreams that another instance counts on in a zone, and answers with what it lacks.
+    /// Merges another instance's list of the upstreams that are present in a zone, and answers with
+    /// the records that it lacks.
     pub(crate) fn on_listing(
         &mut self,
         from: &name::Name,
@@ -306,7 +314,7 @@
         let listed: std::collections::BTreeMap<_, _> =
             records.iter().map(|record| (record.id.clone(), known(record))).collect();
         self.on_records(records);
-        // Of one that is gone only those are told who still count on it.
+        // The record of an upstream that is gone goes only to instances that still list it.
         let lacks = |record: &&upstream::Record| match listed.get(&record.id) {
             Some(held) => *held < known(record),
             None => record.phase != upstream::Phase::Gone,
@@ -317,22 +325,22 @@
         }
     }
 
-    /// Tells its zone and all keepers of something new; the others read it in the heartbeats of
-    /// these.
+    /// Sends heartbeats with news to the instances of its zone and to all keepers at once; the
+    /// other instances read the news in the heartbeats of these.
     pub(crate) fn beat_all(&mut self, now: Now) {
         let zone = &self.membership.me().zone;
         let near = |card: &member::Card| card.zone == *zone || card.role == member::Role::Keeper;
-        let told = |name: &&name::Name| {
+        let receives = |name: &&name::Name| {
             let card = self.membership.peer(name).and_then(|peer| peer.card.as_ref());
             self.membership.is_few() || card.is_none_or(near)
         };
-        let names: Vec<_> = self.membership.names().filter(told).cloned().collect();
+        let names: Vec<_> = self.membership.names().filter(receives).cloned().collect();
         for to in names {
             self.beat_now(&to, now);
         }
     }
 
-    /// Tells the instances of another zone of something new.
+    /// Sends heartbeats with news to the instances of another zone at once.
     pub(crate) fn beat_zone(&mut self, zone: &name::Name, now: Now) {
         if *zone == self.membership.me().zone {
             return;
@@ -342,16 +350,16 @@
         }
     }
 
-    /// Sends a heartbeat with something new in it.
+    /// Sends an urgent heartbeat, which carries news, at once.
     pub(crate) fn beat_now(&mut self, to: &name::Name, now: Now) {
         let led = self.claims.is_led(&self.membership.me().zone, &self.membership, now.mono);
-        let chosen = self.membership.is_chosen(to, self.used(led).contains(to));
+        let chosen = self.membership.is_chosen(to, self.partners(led).contains(to));
         let ping = Ping { urgent: true, chosen, ..self.ping(now) };
         let ping = self.address_ping(ping, to, now);
         self.send(to, Body::Ping(Box::new(ping)), now);
     }
 
-    /// Completes a heartbeat with what is meant for its receiver.
+    /// Fills in the fields of a heartbeat that depend on its receiver.
     pub(crate) fn address_ping(&mut self, ping: Ping, to: &name::Name, now: Now) -> Ping {
         let card = self.membership.peer(to).and_then(|peer| peer.card.as_ref());
         let me = self.membership.me();
@@ -362,7 +370,7 @@
         Ping { echo, heard, records, ..ping }
     }
 
-    /// Whether an instance hears of the upstreams of a zone.
+    /// Whether an instance receives news of the upstreams of a zone.
     pub(crate) fn is_told(&self, card: &member::Card, zone: &name::Name) -> bool {
         let scheduler = self.claims.of(zone).is_some_and(|claim| claim.holder == card.name);
         scheduler || self.membership.is_told(card, zone)
--- a/crates/dispatch/src/propagation.rs
+++ b/crates/dispatch/src/propagation.rs
@@ -1,5 +1,5 @@
-//! What an instance does about the configuration: hears of a newer one, fetches it, puts it in
-//! force, and tells the others.
+//! Propagation of the configuration: an instance learns of a newer version, fetches it, puts it in
+//! force, and announces it to other instances.
 
 use state::name;
 
@@ -12,35 +12,35 @@
     time::{MS, Now},
 };
 
-/// Requests are not answered by a configuration that is known to be older than another one for this
+/// An instance answers no requests by its configuration once it has known of a newer one for this
 /// long, microseconds: a route may be gone or lead elsewhere. Operators count on a change after
-/// 2,000 ms, of which its news may take a heartbeat that was lost twice (450 ms), and reading the newer
-/// one 300 ms. An instance that
-/// hears nobody who has a newer one, as it is cut off or keepers have lost power, goes on by the last
-/// that it has.
-const OUTDATED: u64 = 1_100 * MS;
+/// 2,000 ms. Of these, the news may take 450 ms if its heartbeat is lost twice, and reading the
+/// newer configuration 300 ms. An instance that receives heartbeats from no instance with a newer
+/// one, as it is cut off or keepers have lost power, goes on with the last that it has.
+const OUTDATED_AFTER: u64 = 1_100 * MS;
 
-/// A configuration up to this size is given unasked, bytes: several keepers may do so, and each takes
-/// 1.3 ms of a link of 25 Mbit/s.
-const UNASKED: usize = 4_096;
+/// Maximum size of a configuration that is sent without a request, bytes: several keepers may send
+/// it, and each copy takes 1.3 ms of a link of 25 Mbit/s.
+const MAX_UNREQUESTED: usize = 4_096;
 
 impl Core {
-    /// Takes the version that another instance has.
-    pub(crate) fn hear_version(&mut self, version: u64, now: Now) {
+    /// Records the version that another instance has, and fetches it if it is newer.
+    pub(crate) fn note_version(&mut self, version: u64, now: Now) {
         if version > self.document.version {
             self.told.entry(version).or_insert(now.mono);
             self.fetch_newer(now);
         }
     }
 
-    /// Whether a newer configuration has been known of for too long for requests to be answered by
-    /// the one in force, and somebody who has it is heard.
+    /// Whether this instance has known of a newer configuration for too long to answer requests by
+    /// the one in force, and a live instance has that newer one.
     pub fn is_outdated(&self, now: Now) -> bool {
         let Some((version, since)) = self.told.first_key_value() else { return false };
-        now.mono >= since + OUTDATED && !self.membership.holders(*version, now.mono).is_empty()
+        now.mono >= since + OUTDATED_AFTER
+            && !self.membership.holders(*version, now.mono).is_empty()
     }
 
-    /// Asks for the newest configuration that is known of, if that is due.
+    /// Requests the newest known configuration if that is due.
     pub(crate) fn fetch_newer(&mut self, now: Now) {
         let Some(newest) = self.told.last_key_value().map(|(version, _)| *version) else { return };
         if !self.fetch.is_due(newest, now.mono) {
@@ -57,11 +57,12 @@
         }
     }
 
-    /// Gives the configuration to an instance that has none, unasked if it is short: its question may
-    /// be lost, as its stream to here is not up yet.
+    /// Sends the configuration without a request to an instance that has none, if this instance is
+    /// a keeper and the configuration is short: a request of that instance may be lost, as its
+    /// stream to this one is not up yet.
     pub(crate) fn give_document(&mut self, to: &name::Name, now: Now) {
         let held = self.control_log.is_some() && self.document.version > 0;
-        if held && self.document.body.len() <= UNASKED {
+        if held && self.document.body.len() <= MAX_UNREQUESTED {
             let ask = Ask { version: self.document.version, offset: 0 };
             if let Some(part) = fetch::part(&self.document, ask) {
                 self.send(to, Body::Part(part), now);
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes a part of a configuration.
+    /// Handles a part of a configuration.
     pub(crate) fn on_part(&mut self, from: &name::Name, part: &Part, now: Now) {
         match self.fetch.take(from, part, now.mono) {
             fetch::Taken::More(ask) => self.send(from, Body::Fetch(ask), now),
@@ -79,12 +80,12 @@
                     "version {} from byte {}, held {}",
                     part.version, part.offset, self.document.version
                 );
-                self.note("settings: A part that is not needed.", from, detail);
+                self.note("settings: Ignored a part that is not needed.", from, detail);
             }
         }
     }
 
-    /// Puts a configuration in force if it is newer.
+    /// Puts a configuration in force if it is newer than the present one.
     pub(crate) fn adopt(&mut self, document: Document, now: Now) {
         if document.version <= self.document.version {
             return;
@@ -99,13 +100,13 @@
         self.note(
             "settings: In force.",
             &name,
-            format!("version {}, known of for {waited} ms", document.version),
+            format!("version {}, known for {waited} ms", document.version),
         );
         self.out.push(Output::Document(document));
         if self.control_log.is_some() {
             self.announce_version(now);
         }
-        // What is newer still was told of while this one was on its way.
+        // An even newer version may have been announced while this one was on its way.
         self.fetch_newer(now);
     }
 
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Takes an order of the operator to evacuate a zone or to take it back.
+    /// Handles an order of the operator to evacuate a zone or to revert its evacuation.
     pub(crate) fn order_evacuation(
         &mut self,
         ticket: Ticket,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Whether a zone is named by the settings, or an instance or upstream of it is known.
+    /// Whether the settings name a zone, or this instance knows an instance or upstream of it.
     fn has_zone(&self, zone: &name::Name) -> bool {
         let me = self.membership.me();
         let named = self.named_zones.contains(zone) || me.zone == *zone;
@@ -149,7 +150,7 @@
             || self.table.of_zone(zone).next().is_some()
     }
 
-    /// Puts a newer set of evacuated zones in force.
+    /// Puts a set of evacuated zones in force if it is newer than the present one.
     pub(crate) fn adopt_evacuations(&mut self, heard: &evacuation::Evacuations, now: Now) {
         if heard.revision <= self.evacuations.revision {
             return;
@@ -163,7 +164,8 @@
         }
     }
 
-    /// Tells the others of a newer configuration without waiting for the next heartbeat.
+    /// Announces a newer configuration or set of evacuated zones to the entries of this zone at
+    /// once, without waiting for the next heartbeat.
     pub(crate) fn announce_version(&mut self, now: Now) {
         let near = |card: &member::Card| {
             card.role == member::Role::Entry && card.zone == self.membership.me().zone
