--- a/crates/apricotroute/benches/trials.rs
+++ b/crates/apricotroute/benches/trials.rs
@@ -1,5 +1,6 @@
-//! Trials with real processes: `cargo bench --bench trials -- NAME...`, or none for all of them.
-//! Each prints rows of docs/design/measurements.md; a baseline runs right before what it is held against.
+//! Trials with real processes: `cargo bench --bench trials -- NAME...`; without names, all trials
+//! run. Each trial prints rows of `docs/design/measurements.md`. A baseline runs directly before
+//! the variant that is compared with it.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
@@ -9,32 +10,33 @@
 use harness::{Cluster, Plan, SERVICE, eventually, job, mint, pause, upstream::Process};
 use serde_json::{Value, json};
 
-/// Upstreams of a trial and slots of each.
+/// Number of upstreams in a trial, and number of slots of each upstream.
 const UPSTREAMS: u32 = 12;
 const SLOTS: u32 = 8;
-/// Service time; one task in a hundred takes ten times as long.
+/// Service time of a task. One task in a hundred takes ten times as long, which makes the mean 1.09
+/// times the service time.
 const SERVICE_MS: f64 = 50.0;
 const TAIL: u32 = 100;
 const MEAN_MS: f64 = SERVICE_MS * 1.09;
-/// Tasks of a job: 1 to 8.
+/// Mean number of tasks per job; a job has 1 to 8 tasks.
 const MEAN_TASKS: f64 = 4.5;
 
 fn main() {
     let all: &[(&str, fn())] = &[
         ("idle", idle),
         ("memory", memory),
-        ("path", path),
-        ("starts", starts),
-        ("admission", admission),
+        ("path", response_time),
+        ("starts", start_rate),
+        ("admission", journal_delay),
         ("failover", failover),
         ("settings", settings),
         ("steady", steady),
         ("burst", burst),
-        ("hole", hole),
+        ("hole", failing_upstream),
         ("overload", overload),
-        ("die", die),
-        ("slow", slow),
-        ("lost", lost),
+        ("die", upstream_crash),
+        ("slow", slow_upstream),
+        ("lost", instance_loss),
         ("flood", flood),
         ("cancel", cancel),
         ("retry", retry),
@@ -48,27 +50,33 @@
     }
 }
 
-/// One load on one set of processes.
+/// The processes of one trial run: instances and upstreams.
 struct Run {
     cluster: Cluster,
     upstreams: Vec<Process>,
 }
 
 impl Run {
-    fn new(count: usize, trial: &Value, more: &[&str]) -> Self {
-        Self::with_plan(Plan::new(count).with_extra(json!({"trial": trial, "log": {}})), more)
+    /// Starts `instances` instances, with the trial settings `trial`, and the upstreams.
+    fn new(instances: usize, trial: &Value, options: &[&str]) -> Self {
+        Self::with_plan(
+            Plan::new(instances).with_extra(json!({"trial": trial, "log": {}})),
+            options,
+        )
     }
 
-    fn with_plan(plan: Plan, more: &[&str]) -> Self {
+    /// Starts the instances of `plan` and the upstreams. `options` holds command-line options of
+    /// the upstreams; they replace the defaults.
+    fn with_plan(plan: Plan, options: &[&str]) -> Self {
         let cluster = plan.start();
         cluster.create_service();
         let (count, slots) = (UPSTREAMS.to_string(), SLOTS.to_string());
         let (time, tail) = (SERVICE_MS.to_string(), TAIL.to_string());
         let defaults =
             [("--count", &count), ("--slots", &slots), ("--service-ms", &time), ("--tail", &tail)];
-        let mut arguments = more.to_vec();
+        let mut arguments = options.to_vec();
         for (key, value) in defaults {
-            if !more.contains(&key) {
+            if !options.contains(&key) {
                 arguments.extend([key, value]);
             }
         }
@@ -78,7 +86,8 @@
         Self { cluster, upstreams }
     }
 
-    fn load(&self, to: &[usize], rate: f64, seconds: u64, more: &[&str]) -> Value {
+    /// Runs the load generator against the instances `to` and returns its report.
+    fn load(&self, to: &[usize], rate: f64, seconds: u64, options: &[&str]) -> Value {
         let list = |address: &dyn Fn(usize) -> String, at: &[usize]| {
             at.iter().map(|at| address(*at)).collect::<Vec<_>>().join(",")
         };
@@ -88,8 +97,12 @@
             .args(["load", "--to", &list(&|at| nodes[at].client.to_string(), to)])
             .args(["--operator", &list(&|at| nodes[at].operator.to_string(), &running)])
             .args(["--rate", &rate.to_string(), "--seconds", &seconds.to_string()])
-            .args(if more.contains(&"--ideal-ms") { &[] as &[&str] } else { &["--ideal-ms", "50"] })
-            .args(more)
+            .args(if options.contains(&"--ideal-ms") {
+                &[] as &[&str]
+            } else {
+                &["--ideal-ms", "50"]
+            })
+            .args(options)
             .output()
             .unwrap();
         serde_json::from_slice(&output.stdout).unwrap_or_else(|_| {
@@ -97,23 +110,26 @@
         })
     }
 
+    /// Returns the indexes of all instances.
     fn all(&self) -> Vec<usize> {
         (0..self.cluster.nodes.len()).collect()
     }
 }
 
-/// Jobs a second that keep this share of all slots busy.
-fn rate(share: f64) -> f64 {
-    share * f64::from(UPSTREAMS * SLOTS) / (MEAN_MS / 1_000.0) / MEAN_TASKS
+/// Returns the jobs per second that keep the fraction `utilization` of all slots busy.
+fn rate(utilization: f64) -> f64 {
+    utilization * f64::from(UPSTREAMS * SLOTS) / (MEAN_MS / 1_000.0) / MEAN_TASKS
 }
 
+/// Load options for jobs of 1 to 8 tasks.
 const JOBS: &[&str] = &["--tasks", "1", "--spread", "7"];
 
-fn row(what: &str, report: &Value) {
+/// Prints the table row of one load report.
+fn row(label: &str, report: &Value) {
     let over = &report["over_ideal_ms"];
     let number = |value: &Value| format!("{:.2}", value.as_f64().unwrap_or(f64::NAN));
     println!(
-        "| {what} | {} | {} | {} | {} | {} | {} | {} | {} |",
+        "| {label} | {} | {} | {} | {} | {} | {} | {} | {} |",
         report["states"],
         report["useful_tasks"],
         number(&over["p50"]),
@@ -125,30 +141,33 @@
     );
 }
 
-fn head() {
+/// Prints the table header that fits [`row`].
+fn header() {
     println!(
         "| run | states | useful tasks | over ideal p50 ms | p90 ms | p99 ms | messages/task | bytes/task | counters |"
     );
     println!("|---|---|---|---|---|---|---|---|---|");
 }
 
-fn chosen() -> Value {
+/// Returns the trial settings of the product: no overrides.
+fn defaults() -> Value {
     json!({})
 }
 
-/// Processor time of a process, seconds, and its resident memory, megabytes.
+/// Returns the CPU time of a process in seconds and its resident memory in megabytes.
 fn usage(pid: u32) -> (f64, f64) {
-    const TICKS: f64 = 100.0;
+    const TICKS_PER_SECOND: f64 = 100.0;
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<_> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
     let ticks: f64 = fields[11..13].iter().map(|field| field.parse::<f64>().unwrap()).sum();
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let rss = status.lines().find(|line| line.starts_with("VmRSS")).unwrap();
     let kb: f64 = rss.split_whitespace().nth(1).unwrap().parse().unwrap();
-    (ticks / TICKS, kb / 1_024.0)
+    (ticks / TICKS_PER_SECOND, kb / 1_024.0)
 }
 
-fn peer_bytes(cluster: &Cluster, at: usize) -> (f64, f64) {
+/// Returns the numbers of messages and bytes that an instance has sent to its peers.
+fn peer_traffic(cluster: &Cluster, at: usize) -> (f64, f64) {
     let url = format!("http://{}/metrics", cluster.nodes[at].operator);
     let text = ureq::get(url).call().unwrap().into_body().read_to_string().unwrap();
     let sum = |name: &str| -> f64 {
@@ -158,7 +177,7 @@
     (sum("apricotroute_peer_messages_total"), sum("apricotroute_peer_bytes_total"))
 }
 
-/// What an instance costs when nothing happens, by instances, upstreams and services.
+/// Resource usage of an idle instance, by number of instances, upstreams and services.
 fn idle() {
     const SECONDS: f64 = 10.0;
     println!(
@@ -187,14 +206,14 @@
         let pids: Vec<_> = cluster.nodes.iter().map(|n| n.child.as_ref().unwrap().id()).collect();
         let all: Vec<_> = (0..pids.len()).collect();
         let before: Vec<_> =
-            all.iter().map(|at| (usage(pids[*at]), peer_bytes(&cluster, *at))).collect();
+            all.iter().map(|at| (usage(pids[*at]), peer_traffic(&cluster, *at))).collect();
         pause((SECONDS * 1_000.0) as u64);
-        // The instance that costs most: leaders do.
+        // Each column is the maximum over the instances, since leaders use the most resources.
         let mut worst = [0.0_f64; 4];
         for at in all {
             let ((cpu, _), (messages, bytes)) = before[at];
             let ((cpu_now, memory), (messages_now, bytes_now)) =
-                (usage(pids[at]), peer_bytes(&cluster, at));
+                (usage(pids[at]), peer_traffic(&cluster, at));
             let values = [
                 (cpu_now - cpu) / SECONDS * 100.0,
                 memory,
@@ -217,10 +236,10 @@
     }
 }
 
-/// Memory that a remembered job takes.
+/// Memory usage per remembered job.
 fn memory() {
     println!("| jobs of one task | remembered | memory MB of each instance |\n|---|---|---|");
-    let run = Run::new(3, &chosen(), &["--tail", "0", "--service-ms", "5"]);
+    let run = Run::new(3, &defaults(), &["--tail", "0", "--service-ms", "5"]);
     let pids: Vec<_> = run.cluster.nodes.iter().map(|n| n.child.as_ref().unwrap().id()).collect();
     for seconds in [1, 10, 10, 10] {
         let report = run.load(&run.all(), 1_000.0, seconds, &["--ideal-ms", "5"]);
@@ -235,10 +254,11 @@
     }
 }
 
-/// Response time of single-task jobs at half of the slots, three seeds.
-fn path() {
-    head();
-    let run = Run::new(3, &chosen(), &["--tail", "0"]);
+/// Response time of single-task jobs and of idempotent requests while half of the slots are busy,
+/// with three seeds.
+fn response_time() {
+    header();
+    let run = Run::new(3, &defaults(), &["--tail", "0"]);
     let rate = 0.5 * f64::from(UPSTREAMS * SLOTS) / (SERVICE_MS / 1_000.0);
     for seed in ["1", "2", "3"] {
         let report = run.load(&run.all(), rate, 5, &["--seed", seed]);
@@ -251,12 +271,12 @@
     drop(run.upstreams);
 }
 
-/// Task starts a second that one instance sustains.
-fn starts() {
+/// Task starts per second that one instance sustains.
+fn start_rate() {
     println!("jobs of 20 tasks of 20 ms at one instance of one; 12 upstreams of 64 slots");
-    head();
-    let more = ["--tail", "0", "--slots", "64", "--service-ms", "20"];
-    let run = Run::new(1, &chosen(), &more);
+    header();
+    let options = ["--tail", "0", "--slots", "64", "--service-ms", "20"];
+    let run = Run::new(1, &defaults(), &options);
     for tasks in [1_000, 2_000, 4_000, 6_000, 8_000, 10_000, 12_000] {
         let rate = f64::from(tasks) / 20.0;
         let report = run.load(&[0], rate, 4, &["--tasks", "20", "--ideal-ms", "20"]);
@@ -264,10 +284,11 @@
     }
 }
 
-/// What the journal adds, by where it is kept and how often it is asked.
-fn admission() {
-    head();
-    let run = Run::new(3, &chosen(), &["--tail", "0"]);
+/// Delay that the journal adds: jobs of one task and of 20 tasks compared with requests that skip
+/// the journal, jobs without copies of the answer, and commits synced to disk by a majority.
+fn journal_delay() {
+    header();
+    let run = Run::new(3, &defaults(), &["--tail", "0"]);
     let all = run.all();
     for seed in ["1", "2", "3"] {
         let direct = run.load(&all, 100.0, 4, &["--idempotent", "--seed", seed]);
@@ -299,9 +320,10 @@
     );
 }
 
-/// Time until the next job is accepted after a death, and after a cut.
+/// Time until the next job, or settings change, is accepted after an instance was killed, and until
+/// the next job is accepted after a network partition.
 fn failover() {
-    let accepted = |cluster: &Cluster, at: usize| {
+    let accept_ms = |cluster: &Cluster, at: usize| {
         let start = time::Instant::now();
         let served = || cluster.submit(at, &job(&mint("west"), 1, 5_000)).0 == 200;
         assert!(eventually(20_000, served));
@@ -309,46 +331,46 @@
     };
     let mut rows = Vec::new();
     for _ in 0..5 {
-        let mut run = Run::new(3, &chosen(), &["--tail", "0"]);
+        let mut run = Run::new(3, &defaults(), &["--tail", "0"]);
         let leader = run.cluster.leader("journal west").unwrap();
         let other = (leader + 1) % 3;
         run.cluster.kill(leader);
-        let journal = accepted(&run.cluster, other);
+        let journal_ms = accept_ms(&run.cluster, other);
         run.cluster.start(leader);
         run.cluster.wait_ready();
         let follower = (run.cluster.leader("journal west").unwrap() + 1) % 3;
         run.cluster.kill(follower);
-        let owner = accepted(&run.cluster, (follower + 1) % 3);
+        let follower_ms = accept_ms(&run.cluster, (follower + 1) % 3);
         run.cluster.start(follower);
         run.cluster.wait_ready();
         let settings = run.cluster.leader("settings").unwrap();
         run.cluster.kill(settings);
         let start = time::Instant::now();
-        let set = || run.cluster.set((settings + 1) % 3, "a", &json!({"values": {}})).0 == 200;
-        assert!(eventually(20_000, set));
+        let changed = || run.cluster.set((settings + 1) % 3, "a", &json!({"values": {}})).0 == 200;
+        assert!(eventually(20_000, changed));
         let settings_ms = start.elapsed().as_millis();
         run.cluster.start(settings);
         run.cluster.wait_ready();
         run.cluster.isolate(&[0], true);
         pause(5_000);
         run.cluster.isolate(&[0], false);
-        let healed = accepted(&run.cluster, 0);
-        rows.push((journal, owner, settings_ms, healed));
+        let healed_ms = accept_ms(&run.cluster, 0);
+        rows.push((journal_ms, follower_ms, settings_ms, healed_ms));
     }
     println!(
         "| run | journal leader killed ms | follower killed ms | settings leader killed ms | healed after a cut of 5 s ms |"
     );
     println!("|---|---|---|---|---|");
-    for (at, (journal, owner, settings, healed)) in rows.iter().enumerate() {
-        println!("| {} | {journal} | {owner} | {settings} | {healed} |", at + 1);
+    for (at, (journal, follower, settings, healed)) in rows.iter().enumerate() {
+        println!("| {} | {journal} | {follower} | {settings} | {healed} |", at + 1);
     }
 }
 
-/// Time until a settings change is in force at all of nine instances.
+/// Time until a settings change is in force on all of nine instances.
 fn settings() {
     let plan = Plan::with_zones(&[("west", 3), ("mid", 3), ("east", 3)]);
     let run = Run::with_plan(plan.with_extra(json!({"log": {}})), &[]);
-    let measure = |what: &str| {
+    let measure = |label: &str| {
         let mut times: Vec<_> = (0..60)
             .map(|number| {
                 let start = time::Instant::now();
@@ -361,7 +383,7 @@
             })
             .collect();
         times.sort_by(f64::total_cmp);
-        println!("| {what} | {:.0} | {:.0} | {:.0} |", times[30], times[58], times[59]);
+        println!("| {label} | {:.0} | {:.0} | {:.0} |", times[30], times[58], times[59]);
     };
     println!("| 9 instances, 60 changes | p50 ms | p98 ms | max ms |\n|---|---|---|---|");
     measure("idle");
@@ -372,130 +394,142 @@
     });
 }
 
+/// Constant load, by placement policy and utilization.
 fn steady() {
-    head();
+    header();
     let cases = [
         ("round robin, unshared", json!({"placement": "round_robin", "shares": false})),
         ("two choices, unshared", json!({"placement": "two_choices", "shares": false})),
         ("least work, shares, no borrowing", json!({"borrow": false})),
-        ("least work, shares, borrowing", chosen()),
+        ("least work, shares, borrowing", defaults()),
     ];
-    for (what, trial) in &cases {
+    for (label, trial) in &cases {
         let run = Run::new(3, trial, &[]);
         for share in [0.3, 0.6, 0.8, 0.95] {
             let report = run.load(&run.all(), rate(share), 6, JOBS);
-            row(&format!("{what}, {:.0}%", share * 100.0), &report);
+            row(&format!("{label}, {:.0}%", share * 100.0), &report);
         }
     }
 }
 
+/// A burst at three times the capacity, and a load that arrives at one instance only, with and
+/// without borrowing of slots.
 fn burst() {
     println!("three times the slots' rate for 5 s, deadline 20 s");
-    head();
-    for (what, trial) in [("no borrowing", json!({"borrow": false})), ("borrowing", chosen())] {
-        for (where_, to) in [("one instance", vec![0]), ("all instances", vec![0, 1, 2])] {
+    header();
+    for (label, trial) in [("no borrowing", json!({"borrow": false})), ("borrowing", defaults())] {
+        for (target, to) in [("one instance", vec![0]), ("all instances", vec![0, 1, 2])] {
             let run = Run::new(3, &trial, &[]);
-            let more = [JOBS, &["--deadline-ms", "20000"]].concat();
-            row(&format!("{what}, at {where_}"), &run.load(&to, rate(3.0), 5, &more));
+            let options = [JOBS, &["--deadline-ms", "20000"]].concat();
+            row(&format!("{label}, at {target}"), &run.load(&to, rate(3.0), 5, &options));
         }
     }
     println!("\nfour tenths of all slots, all of it at one instance");
-    head();
-    for (what, trial) in [("no borrowing", json!({"borrow": false})), ("borrowing", chosen())] {
+    header();
+    for (label, trial) in [("no borrowing", json!({"borrow": false})), ("borrowing", defaults())] {
         let run = Run::new(3, &trial, &[]);
-        row(what, &run.load(&[0], rate(0.4), 6, JOBS));
+        row(label, &run.load(&[0], rate(0.4), 6, JOBS));
     }
 }
 
-fn hole() {
-    println!("one upstream of twelve fails at once all it starts, 60%");
-    head();
-    for (what, trial) in [("no ejection", json!({"eject": false})), ("ejection", chosen())] {
+/// An upstream that fails all tasks immediately, with and without ejection.
+fn failing_upstream() {
+    println!("one upstream of twelve immediately fails each task that it starts, 60%");
+    header();
+    for (label, trial) in [("no ejection", json!({"eject": false})), ("ejection", defaults())] {
         let run = Run::new(3, &trial, &["--mode", "fail", "--odd", "1"]);
-        row(what, &run.load(&run.all(), rate(0.6), 8, JOBS));
+        row(label, &run.load(&run.all(), rate(0.6), 8, JOBS));
     }
 }
 
-fn slow() {
+/// A slow upstream, by placement policy.
+fn slow_upstream() {
     println!("one upstream of twelve is ten times slower, 60%");
-    head();
+    header();
     let cases = [
         ("round robin", json!({"placement": "round_robin"})),
         ("two choices", json!({"placement": "two_choices"})),
-        ("least work", chosen()),
+        ("least work", defaults()),
     ];
-    for (what, trial) in cases {
+    for (label, trial) in cases {
         let run = Run::new(3, &trial, &["--odd", "1", "--odd-ms", "500", "--tail", "0"]);
-        row(what, &run.load(&run.all(), rate(0.6), 8, JOBS));
+        row(label, &run.load(&run.all(), rate(0.6), 8, JOBS));
     }
 }
 
+/// Overload and the recovery after it, with and without limits.
 fn overload() {
     println!("load at 100% and 150% for 15 s, deadline 1 s; then 50% at once");
-    head();
-    for (what, trial) in [("no limits", json!({"limits": false})), ("limits", chosen())] {
+    header();
+    for (label, trial) in [("no limits", json!({"limits": false})), ("limits", defaults())] {
         let run = Run::new(3, &trial, &[]);
-        let more = [JOBS, &["--deadline-ms", "1000"]].concat();
-        row(&format!("{what}, 100%"), &run.load(&run.all(), rate(1.0), 8, &more));
-        let report = run.load(&run.all(), rate(1.5), 15, &more);
-        row(&format!("{what}, 150%"), &report);
+        let options = [JOBS, &["--deadline-ms", "1000"]].concat();
+        row(&format!("{label}, 100%"), &run.load(&run.all(), rate(1.0), 8, &options));
+        let report = run.load(&run.all(), rate(1.5), 15, &options);
+        row(&format!("{label}, 150%"), &report);
         println!(
             "refusals answered in {} ms; useful by second {}",
             report["refusal_ms"], report["useful_by_second"]
         );
-        row(&format!("{what}, 50% right after"), &run.load(&run.all(), rate(0.5), 4, &more));
+        row(&format!("{label}, 50% right after"), &run.load(&run.all(), rate(0.5), 4, &options));
     }
 }
 
+/// Overload, by retry behavior of the clients.
 fn retry() {
-    println!("150% for 10 s, deadline 1 s: clients that never come back, obey, or insist at once");
-    head();
+    println!(
+        "150% for 10 s, deadline 1 s: clients that never retry, retry after the requested delay, or retry at once"
+    );
+    header();
     for mode in ["never", "obey", "insist"] {
-        let run = Run::new(3, &chosen(), &[]);
-        let more = [JOBS, &["--deadline-ms", "1000", "--retry", mode]].concat();
-        let report = run.load(&run.all(), rate(1.5), 10, &more);
+        let run = Run::new(3, &defaults(), &[]);
+        let options = [JOBS, &["--deadline-ms", "1000", "--retry", mode]].concat();
+        let report = run.load(&run.all(), rate(1.5), 10, &options);
         row(mode, &report);
         println!("retries {}", report["retries"]);
     }
 }
 
-fn die() {
+/// A crash and restart of a fifth of the upstreams, with and without ejection.
+fn upstream_crash() {
     println!(
-        "a fifth of the upstreams (SIGKILL, 3 of 15) dies after 3 s and returns after 6 s, 50%"
+        "a fifth of the upstreams (SIGKILL, 3 of 15) crashes after 3 s and restarts after 6 s, 50%"
     );
-    head();
-    for (what, trial) in [("no ejection", json!({"eject": false})), ("ejection", chosen())] {
+    header();
+    for (label, trial) in [("no ejection", json!({"eject": false})), ("ejection", defaults())] {
         let run = Run::new(3, &trial, &[]);
-        let more = ["--count", "3", "--slots", "8", "--service-ms", "50", "--tail", "100"];
-        let mut part = run.cluster.upstream("v", "west", &[0, 1, 2], &more);
+        let options = ["--count", "3", "--slots", "8", "--service-ms", "50", "--tail", "100"];
+        let mut killed = run.cluster.upstream("v", "west", &[0, 1, 2], &options);
         run.cluster.wait_upstreams("west", UPSTREAMS as usize + 3);
         thread::scope(|scope| {
             let load = scope.spawn(|| run.load(&run.all(), rate(0.6), 12, JOBS));
             pause(3_000);
-            part.child.kill().unwrap();
+            killed.child.kill().unwrap();
             pause(3_000);
-            let _back = run.cluster.upstream("v", "west", &[0, 1, 2], &more);
-            row(what, &load.join().unwrap());
+            let _restarted = run.cluster.upstream("v", "west", &[0, 1, 2], &options);
+            row(label, &load.join().unwrap());
         });
     }
 }
 
-fn lost() {
+/// Loss of one instance, by a kill or a drain.
+fn instance_loss() {
     println!("60%; after 3 s an instance is killed, or drained; the load goes to the other two");
-    head();
-    for (what, signal) in [("killed", "-KILL"), ("drained", "-TERM")] {
-        let run = Run::new(3, &chosen(), &[]);
+    header();
+    for (label, signal) in [("killed", "-KILL"), ("drained", "-TERM")] {
+        let run = Run::new(3, &defaults(), &[]);
         thread::scope(|scope| {
             let rest = scope.spawn(|| run.load(&[1, 2], rate(0.4), 8, JOBS));
             let own = scope.spawn(|| run.load(&[0], rate(0.2), 3, JOBS));
             pause(2_500);
             run.cluster.signal(0, signal);
-            row(&format!("at the others, one {what}"), &rest.join().unwrap());
+            row(&format!("at the others, one {label}"), &rest.join().unwrap());
             drop(own.join());
         });
     }
 }
 
+/// Fairness while one team submits ten times as much as each other team.
 fn flood() {
     println!(
         "ten teams; t0 submits ten times as much as each other; 120% of the slots, deadline 3 s"
@@ -503,10 +537,11 @@
     println!(
         "| run | useful tasks | p50 of t0 | p99 of t0 | p50 of t1 to t9 | p99 of t1 to t9 |\n|---|---|---|---|---|---|"
     );
-    for (what, teams, flood) in [("no teams told", "0", "1"), ("fair shares", "10", "10")] {
-        let run = Run::new(3, &chosen(), &[]);
-        let more = [JOBS, &["--deadline-ms", "3000", "--teams", teams, "--flood", flood]].concat();
-        let report = run.load(&run.all(), rate(1.2), 10, &more);
+    for (label, teams, flood) in [("no teams told", "0", "1"), ("fair shares", "10", "10")] {
+        let run = Run::new(3, &defaults(), &[]);
+        let options =
+            [JOBS, &["--deadline-ms", "3000", "--teams", teams, "--flood", flood]].concat();
+        let report = run.load(&run.all(), rate(1.2), 10, &options);
         let of = |team: &str, key: &str| {
             let teams = &report["teams_over_ideal_ms"];
             let value = if teams[team].is_null() { &report["over_ideal_ms"] } else { &teams[team] };
@@ -517,7 +552,7 @@
             all.iter().sum::<f64>() / all.len() as f64
         };
         println!(
-            "| {what} | {} | {:.1} | {:.1} | {:.1} | {:.1} |",
+            "| {label} | {} | {:.1} | {:.1} | {:.1} | {:.1} |",
             report["useful_tasks"],
             of("t0", "p50"),
             of("t0", "p99"),
@@ -527,11 +562,12 @@
     }
 }
 
+/// Load without cancellations, and load with half of the jobs cancelled.
 fn cancel() {
     println!("80%, half of all jobs cancelled");
-    head();
-    let run = Run::new(3, &chosen(), &[]);
+    header();
+    let run = Run::new(3, &defaults(), &[]);
     row("none cancelled", &run.load(&run.all(), rate(0.8), 6, JOBS));
-    let more = [JOBS, &["--cancel", "0.5"]].concat();
-    row("half cancelled", &run.load(&run.all(), rate(0.8), 6, &more));
+    let options = [JOBS, &["--cancel", "0.5"]].concat();
+    row("half cancelled", &run.load(&run.all(), rate(0.8), 6, &options));
 }
--- a/crates/apricotroute/src/cli.rs
+++ b/crates/apricotroute/src/cli.rs
@@ -14,17 +14,17 @@
 /// The arguments of one command.
 type Arguments = pico_args::Arguments;
 
-/// What a command ends with.
-type Ended = error::Result<process::ExitCode>;
+/// The exit code of a command, or its error.
+type Outcome = error::Result<process::ExitCode>;
 
-/// Exit code for faults of arguments and files.
+/// Exit code for invalid arguments and files.
 const USAGE: u8 = 2;
 
 /// Runs the command line.
 pub fn run(arguments: Vec<ffi::OsString>) -> process::ExitCode {
     let mut arguments = Arguments::from_vec(arguments);
     let command = arguments.subcommand().unwrap_or_default();
-    let (help, run): (&str, fn(Arguments) -> Ended) = match command.as_deref() {
+    let (help, run): (&str, fn(Arguments) -> Outcome) = match command.as_deref() {
         None => return no_command(arguments),
         Some("serve") => (help::SERVE, serve),
         Some("node") => (help::NODE, run_node),
@@ -39,7 +39,7 @@
         Some("load") => (load::HELP, run_load),
         Some("upstream") => (help::UPSTREAM, upstream),
         Some(other) => {
-            eprintln!("apricotroute: no command {other:?}; see apricotroute --help");
+            eprintln!("apricotroute: unknown command {other:?}; see apricotroute --help");
             return process::ExitCode::from(USAGE);
         }
     };
@@ -69,14 +69,14 @@
     process::ExitCode::from(USAGE)
 }
 
-/// The next argument without a name.
-fn free(arguments: &mut Arguments, name: &'static str) -> error::Result<String> {
+/// Parses the next positional argument; `name` is used in the error.
+fn positional(arguments: &mut Arguments, name: &'static str) -> error::Result<String> {
     let value = arguments.free_from_str();
     value.change_context_lazy(|| error::Error::new("read argument", name))
 }
 
-/// Reads a settings file and shows its faults.
-fn read_file<T>(
+/// Parses a settings file, or prints its errors and returns the exit code.
+fn parse_file<T>(
     path: &path::Path,
     parse: impl FnOnce(&str) -> Result<T, Vec<locate::Fault>>,
 ) -> error::Result<Result<T, process::ExitCode>> {
@@ -89,8 +89,8 @@
     }))
 }
 
-fn check(mut arguments: Arguments) -> Ended {
-    let file = free(&mut arguments, "FILE")?;
+fn check(mut arguments: Arguments) -> Outcome {
+    let file = positional(&mut arguments, "FILE")?;
     options::finish(arguments)?;
     let parse = |text: &str| {
         if node_file::Node::is_meant(text) {
@@ -99,7 +99,7 @@
             boot::Boot::parse(text).map(drop)
         }
     };
-    Ok(match read_file(path::Path::new(&file), parse)? {
+    Ok(match parse_file(path::Path::new(&file), parse)? {
         Ok(()) => {
             output::line(format_args!("{file}: ok"));
             process::ExitCode::SUCCESS
@@ -108,27 +108,27 @@
     })
 }
 
-fn serve(mut arguments: Arguments) -> Ended {
+fn serve(mut arguments: Arguments) -> Outcome {
     let file = options::required(&mut arguments, "--settings")?;
     options::finish(arguments)?;
-    let boot = match read_file(path::Path::new(&file), boot::Boot::parse)? {
+    let boot = match parse_file(path::Path::new(&file), boot::Boot::parse)? {
         Ok(boot) => boot,
         Err(code) => return Ok(code),
     };
     let (log, guard) = logs::logger(&boot.log, boot.instance.as_str());
-    let ended = signals()?;
+    let stopped = signals()?;
     let instance = instance::Instance::start(&boot, log)?;
-    wait(&ended);
+    wait(&stopped);
     instance.stop();
     logs::flush(guard);
     Ok(process::ExitCode::SUCCESS)
 }
 
-fn run_node(mut arguments: Arguments) -> Ended {
+fn run_node(mut arguments: Arguments) -> Outcome {
     let file = options::required(&mut arguments, "--settings")?;
     options::finish(arguments)?;
     let path = path::Path::new(&file);
-    let node = match read_file(path, node_file::Node::parse)? {
+    let node = match parse_file(path, node_file::Node::parse)? {
         Ok(node) => node,
         Err(code) => return Ok(code),
     };
@@ -139,7 +139,7 @@
     Ok(process::ExitCode::SUCCESS)
 }
 
-/// A flag that SIGTERM and SIGINT set.
+/// Registers handlers for SIGTERM and SIGINT and returns the flag that they set.
 fn signals() -> error::Result<sync::Arc<atomic::AtomicBool>> {
     let flag = sync::Arc::new(atomic::AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
@@ -149,6 +149,7 @@
     Ok(flag)
 }
 
+/// Waits until the flag is set.
 fn wait(flag: &atomic::AtomicBool) {
     const PAUSE: time::Duration = time::Duration::from_millis(50);
     while !flag.load(atomic::Ordering::Relaxed) {
@@ -156,20 +157,20 @@
     }
 }
 
-fn demo(mut arguments: Arguments) -> Ended {
+fn demo(mut arguments: Arguments) -> Outcome {
     let on_platform = arguments.contains("--platform");
     options::finish(arguments)?;
     output::line(if on_platform { demo_platform::run()? } else { demo::run()? });
     Ok(process::ExitCode::SUCCESS)
 }
 
-fn submit(mut arguments: Arguments) -> Ended {
+fn submit(mut arguments: Arguments) -> Outcome {
     let remote = remote::Remote::new(&options::required(&mut arguments, "--to")?);
     let job: Option<String> = arguments
         .opt_value_from_str("--job")
         .change_context_lazy(|| error::Error::new("read argument", "--job"))?;
     let zone: String = options::option(&mut arguments, "--zone", "west".to_owned())?;
-    let file = free(&mut arguments, "FILE")?;
+    let file = positional(&mut arguments, "FILE")?;
     options::finish(arguments)?;
     let text = if file == "-" {
         std::io::read_to_string(std::io::stdin())
@@ -189,11 +190,11 @@
     }
     let answer = remote.post("/v1/jobs", body.to_string().as_bytes())?;
     output::line(&answer.body);
-    Ok(state_code(&answer))
+    Ok(job_exit_code(&answer))
 }
 
-/// The exit code for the state of a job.
-fn state_code(answer: &remote::Answer) -> process::ExitCode {
+/// Returns the exit code for the state of a job.
+fn job_exit_code(answer: &remote::Answer) -> process::ExitCode {
     const FAILED: u8 = 1;
     const NOT_RUN: u8 = 3;
     const UNKNOWN: u8 = 4;
@@ -206,10 +207,10 @@
     process::ExitCode::from(code)
 }
 
-fn job(mut arguments: Arguments) -> Ended {
+fn job(mut arguments: Arguments) -> Outcome {
     let remote = remote::Remote::new(&options::required(&mut arguments, "--to")?);
-    let action = free(&mut arguments, "show|cancel")?;
-    let job = free(&mut arguments, "ID")?;
+    let action = positional(&mut arguments, "show|cancel")?;
+    let job = positional(&mut arguments, "ID")?;
     options::finish(arguments)?;
     let path = format!("/v1/jobs/{job}");
     let answer = match action.as_str() {
@@ -220,17 +221,17 @@
         }
     };
     output::line(&answer.body);
-    Ok(state_code(&answer))
+    Ok(job_exit_code(&answer))
 }
 
-fn settings(mut arguments: Arguments) -> Ended {
+fn settings(mut arguments: Arguments) -> Outcome {
     let remote = remote::Remote::new(&options::required(&mut arguments, "--to")?);
     let base: Option<u64> = arguments
         .opt_value_from_str("--base")
         .change_context_lazy(|| error::Error::new("read argument", "--base"))?;
     let change: String =
         options::option(&mut arguments, "--change", uuid::Uuid::now_v7().to_string())?;
-    let action = free(&mut arguments, "get|set|log")?;
+    let action = positional(&mut arguments, "get|set|log")?;
     let answer = match action.as_str() {
         "get" => {
             let path = arguments.opt_free_from_str::<String>().ok().flatten().unwrap_or_default();
@@ -238,8 +239,8 @@
             remote.get(&format!("/v1/settings/{}", path.trim_matches('/')))?
         }
         "set" => {
-            let path = free(&mut arguments, "PATH")?;
-            let json = free(&mut arguments, "JSON")?;
+            let path = positional(&mut arguments, "PATH")?;
+            let json = positional(&mut arguments, "JSON")?;
             options::finish(arguments)?;
             let values: Value = serde_json::from_str(&json)
                 .change_context_lazy(|| error::Error::new("read JSON", &json))?;
@@ -256,14 +257,15 @@
         }
     };
     output::line(&answer.body);
-    Ok(plain_code(&answer))
+    Ok(exit_code(&answer))
 }
 
-fn plain_code(answer: &remote::Answer) -> process::ExitCode {
-    if answer.status == 200 { process::ExitCode::SUCCESS } else { state_code(answer) }
+/// Returns success for status 200, otherwise the exit code for the state in the response.
+fn exit_code(answer: &remote::Answer) -> process::ExitCode {
+    if answer.status == 200 { process::ExitCode::SUCCESS } else { job_exit_code(answer) }
 }
 
-fn show_status(mut arguments: Arguments) -> Ended {
+fn show_status(mut arguments: Arguments) -> Outcome {
     let remote = remote::Remote::new(&options::required(&mut arguments, "--to")?);
     let json = arguments.contains("--json");
     options::finish(arguments)?;
@@ -273,17 +275,17 @@
     } else {
         output::text(status::text(&answer.json()));
     }
-    Ok(plain_code(&answer))
+    Ok(exit_code(&answer))
 }
 
-fn show_losses(mut arguments: Arguments) -> Ended {
+fn show_losses(mut arguments: Arguments) -> Outcome {
     const WINDOW: u32 = 2;
     let window = options::option(&mut arguments, "--window", WINDOW)?;
     output::text(losses::Losses::read(&files(arguments)?, window)?);
     Ok(process::ExitCode::SUCCESS)
 }
 
-/// The files that are left as arguments; there has to be one.
+/// Returns the remaining arguments as file paths; at least one is required.
 fn files(arguments: Arguments) -> error::Result<Vec<path::PathBuf>> {
     let files: Vec<_> = arguments.finish().into_iter().map(path::PathBuf::from).collect();
     if files.is_empty() {
@@ -292,40 +294,40 @@
     Ok(files)
 }
 
-fn explain_request(mut arguments: Arguments) -> Ended {
-    const UNTOLD: u8 = 1;
-    let id = free(&mut arguments, "ID")?;
-    let story = explain::Story::read(&id, &files(arguments)?)?;
-    output::text(&story);
-    Ok(process::ExitCode::from(if story.is_empty() { UNTOLD } else { 0 }))
+fn explain_request(mut arguments: Arguments) -> Outcome {
+    const NOT_FOUND: u8 = 1;
+    let id = positional(&mut arguments, "ID")?;
+    let timeline = explain::Timeline::read(&id, &files(arguments)?)?;
+    output::text(&timeline);
+    Ok(process::ExitCode::from(if timeline.is_empty() { NOT_FOUND } else { 0 }))
 }
 
-fn run_load(mut arguments: Arguments) -> Ended {
+fn run_load(mut arguments: Arguments) -> Outcome {
     let options = load::options(&mut arguments)?;
     options::finish(arguments)?;
     output::line(load::run(&options)?);
     Ok(process::ExitCode::SUCCESS)
 }
 
-fn upstream(mut arguments: Arguments) -> Ended {
+fn upstream(mut arguments: Arguments) -> Outcome {
     let count = options::option(&mut arguments, "--count", 0)?;
     let odd = options::option(&mut arguments, "--odd", 0)?;
     let odd_time = time::Duration::from_millis(options::option(&mut arguments, "--odd-ms", 0)?);
     let options = upstream_options(&mut arguments)?;
     options::finish(arguments)?;
-    let ended = signals()?;
+    let stopped = signals()?;
     let runtime = standin::runtime()?;
     let (mut upstreams, mut addresses, mut threads) = (Vec::new(), Vec::new(), Vec::new());
-    for options in many(&options, count, odd, odd_time) {
+    for options in stand_in_options(&options, count, odd, odd_time) {
         let upstream = standin::Standin::start(options, &runtime)?;
         addresses.push(upstream.address().to_string());
         upstreams.push(upstream);
     }
     output::line(addresses.join(" "));
     for upstream in upstreams {
-        let ended = sync::Arc::clone(&ended);
+        let stopped = sync::Arc::clone(&stopped);
         threads.push(thread::spawn(move || {
-            upstream.announce(|| ended.load(atomic::Ordering::Relaxed));
+            upstream.announce(|| stopped.load(atomic::Ordering::Relaxed));
             upstream.drain();
         }));
     }
@@ -335,14 +337,16 @@
     Ok(process::ExitCode::SUCCESS)
 }
 
-/// The options of each of several stand-ins; the first `odd` of them keep the mode.
-fn many(
+/// Returns the options of each stand-in. If `odd` is not 0, only the first `odd` of them keep the
+/// mode of `options`, and the others complete their tasks. A nonzero `odd_time` is the service time
+/// of all that keep the mode.
+fn stand_in_options(
     options: &standin::Options,
     count: usize,
     odd: usize,
     odd_time: time::Duration,
 ) -> Vec<standin::Options> {
-    let one = |number: usize| {
+    let numbered = |number: usize| {
         let mut options = options.clone();
         if count > 0 {
             options.name = format!("{}-{number}", options.name);
@@ -350,13 +354,14 @@
         if odd > 0 && number > odd {
             options.mode = standin::Mode::Answer;
         } else if !odd_time.is_zero() {
-            options.time = odd_time;
+            options.service_time = odd_time;
         }
         options
     };
-    (1..=count.max(1)).map(one).collect()
+    (1..=count.max(1)).map(numbered).collect()
 }
 
+/// Parses the options that all stand-ins of the command share.
 fn upstream_options(arguments: &mut Arguments) -> error::Result<standin::Options> {
     let fault = |key: &'static str| move || error::Error::new("read argument", key);
     let to = options::required(arguments, "--to")?;
@@ -381,12 +386,12 @@
         service: options::option(arguments, "--service", "polish-board".to_owned())?,
         zone: options::option(arguments, "--zone", "west".to_owned())?,
         listen: options::option(arguments, "--listen", net::SocketAddr::from(([127, 0, 0, 1], 0)))?,
-        to: to.split(',').map(str::to_owned).collect(),
+        instances: to.split(',').map(str::to_owned).collect(),
         slots: options::option(arguments, "--slots", 8)?,
-        time: time::Duration::from_millis(options::option(arguments, "--service-ms", 50)?),
+        service_time: time::Duration::from_millis(options::option(arguments, "--service-ms", 50)?),
         tail: options::option(arguments, "--tail", 0)?,
         mode,
         log: arguments.opt_value_from_str("--log").change_context_lazy(fault("--log"))?,
-        room: (cores, memory, accelerators),
+        capacity: (cores, memory, accelerators),
     })
 }
--- a/crates/apricotroute/src/demo.rs
+++ b/crates/apricotroute/src/demo.rs
@@ -1,4 +1,5 @@
-//! `apricotroute demo`: one instance and stand-in upstreams in one process, one job, its answer.
+//! `apricotroute demo` runs one instance and stand-in upstreams in one process, submits one job and
+//! prints its result.
 
 use std::{fs, sync, sync::atomic, thread, time};
 
@@ -12,7 +13,7 @@
 const TASKS: usize = 20;
 const UPSTREAMS: usize = 2;
 
-/// Runs the demonstration and gives the job's answer.
+/// Runs the demonstration and returns the result of the job.
 pub fn run() -> error::Result<String> {
     let fault = |step| move || error::Error::new(step, "the demonstration");
     let folder = tempfile::tempdir().change_context_lazy(fault("create folder of"))?;
@@ -22,10 +23,10 @@
     let operator = remote::Remote::new(&instance.operator().to_string());
     wait_ready(&operator)?;
     operator.put(&format!("/v1/settings/{SERVICE}"), br#"{"values": {}}"#)?;
-    let over = sync::Arc::new(atomic::AtomicBool::new(false));
-    let upstreams = start_upstreams(&instance, &over)?;
+    let stopped = sync::Arc::new(atomic::AtomicBool::new(false));
+    let upstreams = start_upstreams(&instance, &stopped)?;
     let answer = submit(&client, &boot.zone)?;
-    over.store(true, atomic::Ordering::Relaxed);
+    stopped.store(true, atomic::Ordering::Relaxed);
     for upstream in upstreams {
         drop(upstream.join());
     }
@@ -37,7 +38,8 @@
         .attach(answer.body))
 }
 
-/// The embedded default: one instance alone, with a data folder that goes when it ends.
+/// Returns the built-in settings: a single instance with its data in `folder`, a temporary folder
+/// that is deleted at the end.
 fn boot(folder: &std::path::Path) -> error::Result<boot::Boot> {
     let text = json!({
         "instance": "west-1",
@@ -55,11 +57,11 @@
     })
 }
 
-/// Waits until the instance can serve.
+/// Waits until the instance reports that it is ready, for ten seconds at most.
 pub fn wait_ready(operator: &remote::Remote) -> error::Result<()> {
-    const PATIENCE: time::Duration = time::Duration::from_secs(10);
+    const TIMEOUT: time::Duration = time::Duration::from_secs(10);
     const PAUSE: time::Duration = time::Duration::from_millis(20);
-    let until = time::Instant::now() + PATIENCE;
+    let until = time::Instant::now() + TIMEOUT;
     while time::Instant::now() < until {
         if operator.get("/readyz").is_ok_and(|answer| answer.status == 200) {
             return Ok(());
@@ -71,7 +73,7 @@
 
 fn start_upstreams(
     instance: &instance::Instance,
-    over: &sync::Arc<atomic::AtomicBool>,
+    stopped: &sync::Arc<atomic::AtomicBool>,
 ) -> error::Result<Vec<thread::JoinHandle<()>>> {
     let runtime = standin::runtime()?;
     let mut threads = Vec::new();
@@ -81,24 +83,24 @@
             service: SERVICE.to_owned(),
             zone: "west".to_owned(),
             listen: std::net::SocketAddr::from(([127, 0, 0, 1], 0)),
-            to: vec![instance.client().to_string()],
+            instances: vec![instance.client().to_string()],
             slots: 8,
-            time: time::Duration::from_millis(50),
+            service_time: time::Duration::from_millis(50),
             tail: 0,
             mode: standin::Mode::Answer,
             log: None,
-            room: (None, None, None),
+            capacity: (None, None, None),
         };
         let upstream = standin::Standin::start(options, &runtime)?;
-        let over = sync::Arc::clone(over);
+        let stopped = sync::Arc::clone(stopped);
         threads.push(thread::spawn(move || {
-            upstream.announce(|| over.load(atomic::Ordering::Relaxed));
+            upstream.announce(|| stopped.load(atomic::Ordering::Relaxed));
         }));
     }
     Ok(threads)
 }
 
-/// Submits the job, again while no upstream has announced itself yet.
+/// Submits the job, and retries while no upstream has announced itself yet (status 503).
 fn submit(client: &remote::Remote, zone: &name::Name) -> error::Result<remote::Answer> {
     const TRIES: usize = 50;
     const PAUSE: time::Duration = time::Duration::from_millis(50);
@@ -116,7 +118,7 @@
     Ok(answer)
 }
 
-/// Reads a file, naming it if that fails.
+/// Reads a file; an error contains its path.
 pub fn read(path: &std::path::Path) -> error::Result<String> {
     fs::read_to_string(path).change_context_lazy(|| error::Error::new("read", path.display()))
 }
--- a/crates/apricotroute/src/demo_platform.rs
+++ b/crates/apricotroute/src/demo_platform.rs
@@ -1,5 +1,5 @@
-//! `apricotroute demo --platform`: a keeper, an entry and stand-in upstreams in one process, one
-//! configuration, one job, its answer.
+//! `apricotroute demo --platform` runs a keeper, an entry and stand-in upstreams in one process,
+//! publishes one configuration, submits one job and prints its result.
 
 use std::{net, thread, time};
 
@@ -12,13 +12,14 @@
 
 const SERVICE: &str = "polish-board";
 const UPSTREAMS: usize = 2;
-/// Instances use the same ports, so each has a loopback address of its own.
+/// Last byte of the loopback address of each instance. The instances use the same ports, so each
+/// needs an address of its own.
 const KEEPER: u8 = 2;
 const ENTRY: u8 = 3;
-/// Time for everybody to find one another.
-const PATIENCE: time::Duration = time::Duration::from_secs(10);
+/// Maximum time to retry a step while the instances and upstreams discover one another.
+const TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// Runs the demonstration and gives the job's answer.
+/// Runs the demonstration and returns the result of the job.
 pub fn run() -> error::Result<String> {
     let fault = |step| move || error::Error::new(step, "the demonstration");
     let folder = tempfile::tempdir().change_context_lazy(fault("create folder of"))?;
@@ -50,16 +51,16 @@
     node::Node::start(&settings, &logs::none())
 }
 
-/// Ports that nobody listens on now.
+/// Returns ports on which no process is listening at present.
 fn free_ports<const N: usize>() -> error::Result<[u16; N]> {
     let fault = || error::Error::new("find a port for", "the demonstration");
-    let mut held = Vec::new();
+    let mut listeners = Vec::new();
     let mut ports = [0; N];
     for port in &mut ports {
         let any = net::SocketAddr::from(([0, 0, 0, 0], 0));
         let listener = net::TcpListener::bind(any).change_context_lazy(fault)?;
         *port = listener.local_addr().change_context_lazy(fault)?.port();
-        held.push(listener);
+        listeners.push(listener);
     }
     Ok(ports)
 }
@@ -89,7 +90,7 @@
 fn publish(operator: net::SocketAddr) -> error::Result<()> {
     let config = sample::config(SERVICE);
     let operator = remote::Remote::new(&operator.to_string());
-    again("publish a configuration of", || {
+    retry("publish a configuration of", || {
         let answer = operator.put(sample::CONFIG_PATH, config.as_bytes());
         answer.ok().filter(|answer| answer.status == 200).map(|_| ())
     })
@@ -100,17 +101,17 @@
     let agent: ureq::Agent =
         ureq::Agent::config_builder().http_status_as_error(false).build().into();
     let url = format!("http://{client}{}", sample::JOB_PATH);
-    again("submit job of", || {
+    retry("submit job of", || {
         let sent = agent.post(&url).header("Host", sample::HOST).send(job.as_bytes());
         let mut response = sent.ok().filter(|response| response.status().as_u16() == 200)?;
         response.body_mut().read_to_string().ok()
     })
 }
 
-/// Tries until there is a result.
-fn again<T>(step: &'static str, mut attempt: impl FnMut() -> Option<T>) -> error::Result<T> {
+/// Retries `attempt` until it returns a value or [`TIMEOUT`] has passed.
+fn retry<T>(step: &'static str, mut attempt: impl FnMut() -> Option<T>) -> error::Result<T> {
     const PAUSE: time::Duration = time::Duration::from_millis(50);
-    let until = time::Instant::now() + PATIENCE;
+    let until = time::Instant::now() + TIMEOUT;
     while time::Instant::now() < until {
         if let Some(result) = attempt() {
             return Ok(result);
--- a/crates/apricotroute/src/explain.rs
+++ b/crates/apricotroute/src/explain.rs
@@ -1,7 +1,7 @@
-//! The story of one request, from the logs of several processes.
+//! The `explain` command: the timeline of one request, from the logs of several processes.
 //!
-//! Each process writes what it decides about a job as a JSON line with the job's id. The entry's
-//! line `request: Taken.` joins a client's own name for a request with that id.
+//! Each process logs its decisions about a job as JSON lines that carry the job's id. The entry's
+//! line `request: Taken.` maps the client's own id of a request (`Request-Id`) to the job's id.
 
 use std::{collections, fmt, path};
 
@@ -14,38 +14,39 @@
 pub const HELP: &str = "\
 apricotroute explain ID FILE...
 
-Reads the logs of several processes and prints in order of time what was decided about one request,
-by whom and on what grounds. ID is the client's name of the request (its `Request-Id`) or the job's
-id. FILE holds JSON lines; whatever a log collector puts before a line is passed over. `-` is the
-standard input. Between the lines of the request stand those of the instances that had it which
-tell of changes on their side: schedulers that came and went, a stop, a lost dependency.
-Exit code 0, or 1 if no line tells of the request.
+Reads the logs of several processes and prints every decision about one request in order of time,
+with the instance that made it and the reason. ID is the client's id of the request (its
+`Request-Id`) or the job's id. FILE holds JSON lines; any prefix that a log collector adds to a line
+is skipped. `-` is the standard input. The output also contains lines of the involved instances
+about changes of their own state around that time: schedulers that joined or left, a shutdown, a
+lost dependency.
+Exit code 0, or 1 if no line mentions the request.
 ";
 
-/// Parts whose lines say why an instance did not go on as before.
-const CHANGES: [&str; 5] = ["zone:", "node:", "settings:", "peer:", "control:"];
-/// Lines of such changes are shown from this long before the request came: a silence is noticed
-/// after 0.5 s, a zone's next scheduler claims it within about 0.6 s more.
-const BEFORE: chrono::TimeDelta = chrono::TimeDelta::seconds(2);
+/// Message prefixes of the lines that report a change of an instance's own state.
+const STATE_PREFIXES: [&str; 5] = ["zone:", "node:", "settings:", "peer:", "control:"];
+/// State changes are shown from this long before the first line of the request on: a silent peer
+/// is detected after 0.5 s, and the next scheduler of its zone takes over within about 0.6 s more.
+const LEAD_TIME: chrono::TimeDelta = chrono::TimeDelta::seconds(2);
 
-/// What the logs tell of one request.
+/// The log lines about one request, in order of time.
 #[derive(Debug)]
-pub struct Story {
+pub struct Timeline {
     lines: Vec<Line>,
-    /// The job's id, and the client's name of the request if that was asked for.
+    /// The id that was asked for and, if it is a client's `Request-Id`, the ids of its jobs.
     ids: collections::BTreeSet<String>,
-    /// Lines of files that could not be read as lines of a log.
-    unread: usize,
-    /// Lines that the processes say they left out.
-    left_out: u64,
+    /// Input lines that could not be parsed as log lines.
+    unparsed: usize,
+    /// Lines that the processes reported as omitted from their logs.
+    omitted: u64,
 }
 
-impl Story {
-    /// The story of `id` as the files tell it.
+impl Timeline {
+    /// Reads the timeline of the request or job `id` from log files.
     ///
     /// # Errors
     ///
-    /// A file cannot be read.
+    /// Fails if a file cannot be read.
     pub fn read(id: &str, files: &[path::PathBuf]) -> error::Result<Self> {
         let log = log_file::Log::read(files)?;
         Ok(Self::new(id, &log))
@@ -53,47 +54,51 @@
 
     fn new(id: &str, log: &log_file::Log) -> Self {
         let all = &log.lines;
-        let taken = all.iter().filter(|line| line.text("request") == Some(id));
+        let accepted = all.iter().filter(|line| line.text("request") == Some(id));
         let mut ids: collections::BTreeSet<_> =
-            taken.filter_map(|line| line.text("id").map(str::to_owned)).collect();
+            accepted.filter_map(|line| line.text("id").map(str::to_owned)).collect();
         ids.insert(id.to_owned());
         let own: Vec<_> = all.iter().filter(|line| line.is_about(&ids)).collect();
         let involved: collections::BTreeSet<_> = own.iter().map(|line| &line.instance).collect();
         let span = own.first().zip(own.last()).map(|(first, last)| (first.ts, last.ts));
-        let is_watched = |line: &Line| {
+        let is_state_change = |line: &Line| {
             let within =
-                span.is_some_and(|(first, last)| line.ts + BEFORE >= first && line.ts <= last);
-            let change = CHANGES.iter().any(|part| line.msg.starts_with(part));
+                span.is_some_and(|(first, last)| line.ts + LEAD_TIME >= first && line.ts <= last);
+            let change = STATE_PREFIXES.iter().any(|prefix| line.msg.starts_with(prefix));
             within && change && involved.contains(&line.instance)
         };
-        let lines =
-            all.iter().filter(|line| line.is_about(&ids) || is_watched(line)).cloned().collect();
+        let lines = all
+            .iter()
+            .filter(|line| line.is_about(&ids) || is_state_change(line))
+            .cloned()
+            .collect();
         let lines = if own.is_empty() { Vec::new() } else { lines };
-        Self { lines, ids, unread: log.unread, left_out: log.left_out() }
+        Self { lines, ids, unparsed: log.unread, omitted: log.left_out() }
     }
 
-    /// Whether no line tells of the request.
+    /// Returns whether the logs contain no line about the request.
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty()
     }
 }
 
-/// One line for each decision: milliseconds since the first, the instance, what and why. What an
-/// instance says again and again of others stands once, with the number of times.
-impl fmt::Display for Story {
+/// Writes one row for each line: milliseconds since the first one, instance, message and details.
+/// Consecutive lines of one instance that repeat a message and do not mention the request are
+/// written once, with the number of repetitions.
+impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(first) = self.lines.first() else {
             return writeln!(f, "no line tells of it");
         };
         writeln!(f, "from {}", first.ts.to_rfc3339())?;
         let width = self.lines.iter().map(|line| line.instance.len()).max().unwrap_or(0);
-        let alike = |a: &Line, b: &Line| a.instance == b.instance && a.msg == b.msg;
-        let others = |a: &Line, b: &Line| !a.is_about(&self.ids) && !b.is_about(&self.ids);
-        let same = |a: &Line, b: &Line| others(a, b) && alike(a, b);
-        for group in self.lines.chunk_by(same) {
+        let same_message = |a: &Line, b: &Line| a.instance == b.instance && a.msg == b.msg;
+        let unrelated = |a: &Line, b: &Line| !a.is_about(&self.ids) && !b.is_about(&self.ids);
+        let is_repeat = |a: &Line, b: &Line| unrelated(a, b) && same_message(a, b);
+        for group in self.lines.chunk_by(is_repeat) {
             let line = &group[0];
-            let after = (line.ts - first.ts).as_seconds_f64() * 1_000.0;
-            write!(f, "{after:>10.1} ms  {:<width$}  {}", line.instance, line.msg)?;
+            let elapsed = (line.ts - first.ts).as_seconds_f64() * 1_000.0;
+            write!(f, "{elapsed:>10.1} ms  {:<width$}  {}", line.instance, line.msg)?;
             for (key, value) in &line.fields {
                 match value {
                     _ if key == "level" => {}
@@ -109,11 +114,11 @@
             }
             writeln!(f)?;
         }
-        if self.left_out > 0 {
-            writeln!(f, "{} lines were left out of these logs to bound them", self.left_out)?;
+        if self.omitted > 0 {
+            writeln!(f, "{} lines were left out of these logs to bound them", self.omitted)?;
         }
-        if self.unread > 0 {
-            writeln!(f, "{} lines are no lines of a log", self.unread)?;
+        if self.unparsed > 0 {
+            writeln!(f, "{} lines are no lines of a log", self.unparsed)?;
         }
         Ok(())
     }
--- a/crates/apricotroute/src/load.rs
+++ b/crates/apricotroute/src/load.rs
@@ -1,5 +1,6 @@
-//! Open-loop load: submissions at their planned times, whatever the answers do, and response times
-//! counted from those times (so that a slow answer does not hide the ones behind it).
+//! Open-loop load generator. It submits at planned times independently of the responses, and
+//! measures response times from those planned times, so that a slow response does not hide the
+//! delay of the submissions after it.
 
 use std::{collections, fmt::Write as _, sync, sync::atomic, thread, time};
 
@@ -11,39 +12,43 @@
 
 use crate::{error, options, remote};
 
-/// Help of the command.
+/// Output of `--help`.
 pub const HELP: &str = "\
 apricotroute load --to IP:PORT[,IP:PORT...] [options]
 
-  --operator IP:PORT[,...]  operator addresses, to count messages between instances
+  --operator IP:PORT[,...]  operator addresses, whose metrics count messages between instances
   --service PATH            service (default polish-board)
   --zone NAME               home zone of the jobs (default west)
-  --rate X                  jobs a second (default 20)
-  --seconds N               how long (default 5)
-  --tasks N                 tasks of a job (default 1)
-  --spread N                up to N tasks more, at random (default 0)
+  --rate X                  jobs per second (default 20)
+  --seconds N               duration (default 5)
+  --tasks N                 minimum number of tasks per job (default 1)
+  --spread N                up to N additional tasks per job, at random (default 0)
   --ideal-ms N              service time of a task (default 50)
-  --deadline-ms N           deadline (default 5000)
-  --teams N                 submit as teams t0, t1, ... in turn (default 0 = none)
-  --flood X                 team t0 submits X times as much as the others (default 1)
-  --cancel X                share of jobs that is cancelled at half their ideal time (default 0)
-  --retry MODE              refusals: never, obey or insist (default never)
-  --idempotent              submit idempotent requests in place of jobs
-  --seed N                  seed of the arrivals (default 1)
+  --deadline-ms N           deadline of a job (default 5000)
+  --teams N                 submit as teams t0, t1, ..., drawn at random (default 0 = none)
+  --flood X                 team t0 submits X times as many jobs as each other team (default 1)
+  --cancel X                fraction of jobs to cancel after half their ideal time (default 0)
+  --retry MODE              after a refusal: never retry, obey its retry delay, or insist by
+                            retrying immediately (default never)
+  --idempotent              submit idempotent requests instead of jobs
+  --seed N                  seed of the random arrivals (default 1)
 
-Arrivals are a Poisson process with the given seed. Response times are over the ideal: what a task
-takes, without any waiting. Prints JSON.
+Arrivals are a Poisson process with the given seed. Response times are reported as the excess over
+the ideal time, which is the service time of a task without any waiting. Prints JSON.
 ";
 
-/// What a refused submission does.
+/// What the client does after a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Retry {
+    /// The client gives up.
     Never,
+    /// The client retries after the delay that the refusal asks for.
     Obey,
+    /// The client retries immediately.
     Insist,
 }
 
-/// What is submitted, where and when.
+/// Parameters of the load.
 #[derive(Clone, Debug)]
 pub struct Options {
     to: Vec<String>,
@@ -54,7 +59,9 @@
     seconds: u64,
     tasks: u32,
     spread: u32,
+    /// Service time of a task without waiting, milliseconds.
     ideal: f64,
+    /// Deadline of a job, milliseconds.
     deadline: u64,
     teams: u32,
     flood: f64,
@@ -64,7 +71,7 @@
     seed: u64,
 }
 
-/// Reads the options.
+/// Parses the options from the command line.
 pub fn options(arguments: &mut pico_args::Arguments) -> error::Result<Options> {
     let split =
         |text: String| text.split(',').filter(|part| !part.is_empty()).map(str::to_owned).collect();
@@ -97,77 +104,87 @@
     })
 }
 
-/// One submission of the plan.
+/// One planned submission.
 #[derive(Clone, Debug)]
 struct Arrival {
+    /// Time after the start of the load.
     at: time::Duration,
+    /// Index of the client address.
     to: usize,
     tasks: u32,
     team: Option<u32>,
     cancelled: bool,
 }
 
-/// Everything that was measured.
-struct Tally {
-    over: Histogram<u64>,
+/// Measurements of one load run.
+struct Measurements {
+    /// Response times in excess of the ideal time, microseconds.
+    over_ideal: Histogram<u64>,
+    /// Response times of the last attempt of submissions that did not complete, microseconds.
     refusals: Histogram<u64>,
+    /// Excess response times by team, microseconds.
     teams: collections::BTreeMap<u32, Histogram<u64>>,
+    /// Number of submissions by final state.
     states: collections::BTreeMap<String, u64>,
-    useful: u64,
-    second: collections::BTreeMap<u64, u64>,
+    /// Number of tasks of completed submissions.
+    useful_tasks: u64,
+    /// Number of such tasks by second since the start of the load.
+    by_second: collections::BTreeMap<u64, u64>,
     retries: u64,
 }
 
-impl Tally {
+impl Measurements {
     fn new() -> Self {
         Self {
-            over: histogram(),
+            over_ideal: histogram(),
             refusals: histogram(),
             teams: collections::BTreeMap::new(),
             states: collections::BTreeMap::new(),
-            useful: 0,
-            second: collections::BTreeMap::new(),
+            useful_tasks: 0,
+            by_second: collections::BTreeMap::new(),
             retries: 0,
         }
     }
 }
 
-/// Microseconds up to ten minutes, three digits.
+/// Creates a histogram of microseconds up to ten minutes, with three significant digits.
 fn histogram() -> Histogram<u64> {
-    const LONGEST: u64 = 600_000_000;
-    Histogram::new_with_bounds(1, LONGEST, 3).unwrap_or_else(|_| unreachable!("bounds are valid"))
+    const MAX_MICROS: u64 = 600_000_000;
+    Histogram::new_with_bounds(1, MAX_MICROS, 3)
+        .unwrap_or_else(|_| unreachable!("bounds are valid"))
 }
 
-/// Runs the load and gives the figures as JSON.
+/// Runs the load and returns the measurements as JSON.
 pub fn run(options: &Options) -> error::Result<String> {
     let plan = plan(options);
-    let before = messages(options)?;
-    let tally = sync::Arc::new(sync::Mutex::new(Tally::new()));
+    let before = counters(options)?;
+    let measurements = sync::Arc::new(sync::Mutex::new(Measurements::new()));
     let remotes: Vec<_> = options.to.iter().map(|to| remote::Remote::new(to)).collect();
     let pool = link::pool::Pool::new("load", 4_096);
-    let open = sync::Arc::new(atomic::AtomicUsize::new(0));
+    let pending = sync::Arc::new(atomic::AtomicUsize::new(0));
     let start = time::Instant::now();
     for arrival in plan {
         thread::sleep((start + arrival.at).saturating_duration_since(time::Instant::now()));
-        let (options, tally) = (options.clone(), sync::Arc::clone(&tally));
+        let (options, measurements) = (options.clone(), sync::Arc::clone(&measurements));
         let remote = remotes[arrival.to % remotes.len()].clone();
-        let open = sync::Arc::clone(&open);
-        open.fetch_add(1, atomic::Ordering::Relaxed);
+        let pending = sync::Arc::clone(&pending);
+        pending.fetch_add(1, atomic::Ordering::Relaxed);
         pool.run(move || {
-            submit(&options, &remote, &arrival, start, &tally);
-            open.fetch_sub(1, atomic::Ordering::Relaxed);
+            submit(&options, &remote, &arrival, start, &measurements);
+            pending.fetch_sub(1, atomic::Ordering::Relaxed);
         });
     }
-    while open.load(atomic::Ordering::Relaxed) > 0 {
+    while pending.load(atomic::Ordering::Relaxed) > 0 {
         thread::sleep(time::Duration::from_millis(10));
     }
-    let after = messages(options)?;
-    let fault = || error::Error::new("read figures of", "the load");
-    let tally =
-        tally.lock().map_err(|e| error_stack::Report::new(fault()).attach(e.to_string()))?;
-    Ok(report(options, &tally, &before, &after, start.elapsed()))
+    let after = counters(options)?;
+    let fault = || error::Error::new("read measurements of", "the load");
+    let measurements =
+        measurements.lock().map_err(|e| error_stack::Report::new(fault()).attach(e.to_string()))?;
+    Ok(report(options, &measurements, &before, &after, start.elapsed()))
 }
 
+/// Draws the arrivals of a Poisson process.
 fn plan(options: &Options) -> Vec<Arrival> {
     let mut rng = rngs::SmallRng::seed_from_u64(options.seed);
     let mut arrivals = Vec::new();
@@ -187,6 +204,7 @@
     }
 }
 
+/// Draws the team of a submission, if the load uses teams.
 fn team(options: &Options, rng: &mut rngs::SmallRng) -> Option<u32> {
     if options.teams == 0 {
         return None;
@@ -200,7 +218,7 @@
     remote: &remote::Remote,
     arrival: &Arrival,
     start: time::Instant,
-    tally: &sync::Mutex<Tally>,
+    measurements: &sync::Mutex<Measurements>,
 ) {
     const TRIES: usize = 100;
     let planned = start + arrival.at;
@@ -211,17 +229,17 @@
         cancel_later(options, remote, &job);
     }
     for _ in 0..TRIES {
-        let asked = time::Instant::now();
+        let sent = time::Instant::now();
         let answer = call(options, remote, &body, &job);
-        let (state, retry) = state(&answer);
+        let (state, retry_ms) = state(&answer);
         let refused = state == "not_run";
-        let again = refused && options.retry != Retry::Never && time::Instant::now() < until;
-        note(options, arrival, tally, &state, (planned, asked, start), again);
-        if !again {
+        let retrying = refused && options.retry != Retry::Never && time::Instant::now() < until;
+        record(options, arrival, measurements, &state, (planned, sent, start), retrying);
+        if !retrying {
             return;
         }
         if options.retry == Retry::Obey {
-            thread::sleep(time::Duration::from_millis(retry.max(1)));
+            thread::sleep(time::Duration::from_millis(retry_ms.max(1)));
         }
     }
 }
@@ -251,6 +269,7 @@
     remote.post("/v1/jobs", body.as_bytes())
 }
 
+/// Cancels the job after half of its ideal time.
 fn cancel_later(options: &Options, remote: &remote::Remote, job: &str) {
     let (remote, path) = (remote.clone(), format!("/v1/jobs/{job}"));
     let pause = time::Duration::from_secs_f64(options.ideal / 2_000.0);
@@ -260,6 +279,7 @@
     });
 }
 
+/// Returns the state of the submission and the requested retry delay, milliseconds.
 fn state(answer: &error::Result<remote::Answer>) -> (String, u64) {
     let Ok(answer) = answer else {
         return ("no_answer".to_owned(), 0);
@@ -273,42 +293,45 @@
     (state, json["retry_after_ms"].as_u64().unwrap_or(0))
 }
 
-fn note(
+/// Records the result of one attempt. `times` holds the planned time of the submission, the time
+/// when this attempt was sent, and the start of the load.
+fn record(
     options: &Options,
     arrival: &Arrival,
-    tally: &sync::Mutex<Tally>,
+    measurements: &sync::Mutex<Measurements>,
     state: &str,
     times: (time::Instant, time::Instant, time::Instant),
-    again: bool,
+    retrying: bool,
 ) {
-    let (planned, asked, start) = times;
+    let (planned, sent, start) = times;
     let now = time::Instant::now();
-    let Ok(mut tally) = tally.lock() else { return };
-    if again {
-        tally.retries += 1;
+    let Ok(mut measurements) = measurements.lock() else { return };
+    if retrying {
+        measurements.retries += 1;
         return;
     }
-    *tally.states.entry(state.to_owned()).or_default() += 1;
+    *measurements.states.entry(state.to_owned()).or_default() += 1;
     if state != "complete" {
-        tally.refusals.saturating_record((now - asked).as_micros() as u64);
+        measurements.refusals.saturating_record((now - sent).as_micros() as u64);
         return;
     }
     let ideal = time::Duration::from_secs_f64(options.ideal / 1_000.0);
-    let over = (now - planned).saturating_sub(ideal).as_micros() as u64;
-    tally.over.saturating_record(over.max(1));
+    let excess = (now - planned).saturating_sub(ideal).as_micros() as u64;
+    measurements.over_ideal.saturating_record(excess.max(1));
     if let Some(team) = arrival.team {
-        tally.teams.entry(team).or_insert_with(histogram).saturating_record(over.max(1));
+        measurements.teams.entry(team).or_insert_with(histogram).saturating_record(excess.max(1));
     }
-    tally.useful += u64::from(arrival.tasks);
+    measurements.useful_tasks += u64::from(arrival.tasks);
     let second = (now - start).as_secs();
-    *tally.second.entry(second).or_default() += u64::from(arrival.tasks);
+    *measurements.by_second.entry(second).or_default() += u64::from(arrival.tasks);
 }
 
-/// Messages and bytes between instances, and other counters, summed over all operators.
-fn messages(options: &Options) -> error::Result<collections::BTreeMap<String, f64>> {
+/// Reads the metrics of all instances, such as messages and bytes between them, and sums each over
+/// the instances.
+fn counters(options: &Options) -> error::Result<collections::BTreeMap<String, f64>> {
     let mut sums = collections::BTreeMap::new();
     for operator in &options.operators {
-        // An instance that was taken down on purpose counts no more.
+        // A trial may have stopped the instance on purpose; such an instance is skipped.
         let Ok(answer) = remote::Remote::new(operator).get("/metrics") else { continue };
         for line in answer.body.lines().filter(|line| !line.starts_with('#')) {
             let Some((key, value)) = line.rsplit_once(' ') else {
@@ -325,59 +348,64 @@
 
 fn report(
     options: &Options,
-    tally: &Tally,
+    measurements: &Measurements,
     before: &collections::BTreeMap<String, f64>,
     after: &collections::BTreeMap<String, f64>,
-    took: time::Duration,
+    elapsed: time::Duration,
 ) -> String {
-    let grown: collections::BTreeMap<_, _> = after
+    let increases: collections::BTreeMap<_, _> = after
         .iter()
         .map(|(key, value)| (key, value - before.get(key).unwrap_or(&0.0)))
-        .filter(|(_, grown)| *grown > 0.0)
+        .filter(|(_, increase)| *increase > 0.0)
         .collect();
     let sum = |prefix: &str| -> f64 {
-        grown.iter().filter(|(key, _)| key.starts_with(prefix)).map(|(_, value)| value).sum()
+        increases.iter().filter(|(key, _)| key.starts_with(prefix)).map(|(_, value)| value).sum()
     };
-    let useful = tally.useful.max(1) as f64;
-    let kinds: collections::BTreeMap<_, _> = grown
+    let useful_tasks = measurements.useful_tasks.max(1) as f64;
+    let by_kind: collections::BTreeMap<_, _> = increases
         .iter()
         .filter(|(key, _)| key.starts_with("apricotroute_peer_messages"))
-        .map(|(key, value)| (kind(key), *value))
+        .map(|(key, value)| (message_kind(key), *value))
         .collect();
-    let others = ["starts", "moved", "retries", "hedges", "stops", "forwards", "loans_asked"];
+    let names = ["starts", "moved", "retries", "hedges", "stops", "forwards", "loans_asked"];
     let counters: collections::BTreeMap<_, _> =
-        others.iter().map(|key| (*key, sum(&format!("apricotroute_{key}{{")))).collect();
-    let teams: collections::BTreeMap<_, _> =
-        tally.teams.iter().map(|(team, over)| (format!("t{team}"), quantiles(over))).collect();
+        names.iter().map(|key| (*key, sum(&format!("apricotroute_{key}{{")))).collect();
+    let teams: collections::BTreeMap<_, _> = measurements
+        .teams
+        .iter()
+        .map(|(team, times)| (format!("t{team}"), quantiles(times)))
+        .collect();
     let report = json!({
         "rate": options.rate,
         "seconds": options.seconds,
         "seed": options.seed,
-        "took_s": took.as_secs_f64(),
-        "states": tally.states,
-        "retries": tally.retries,
-        "useful_tasks": tally.useful,
-        "useful_by_second": tally.second.values().collect::<Vec<_>>(),
-        "over_ideal_ms": quantiles(&tally.over),
-        "refusal_ms": quantiles(&tally.refusals),
+        "took_s": elapsed.as_secs_f64(),
+        "states": measurements.states,
+        "retries": measurements.retries,
+        "useful_tasks": measurements.useful_tasks,
+        "useful_by_second": measurements.by_second.values().collect::<Vec<_>>(),
+        "over_ideal_ms": quantiles(&measurements.over_ideal),
+        "refusal_ms": quantiles(&measurements.refusals),
         "teams_over_ideal_ms": teams,
-        "peer_messages": kinds,
-        "peer_messages_per_task": sum("apricotroute_peer_messages") / useful,
-        "peer_bytes_per_task": sum("apricotroute_peer_bytes") / useful,
+        "peer_messages": by_kind,
+        "peer_messages_per_task": sum("apricotroute_peer_messages") / useful_tasks,
+        "peer_bytes_per_task": sum("apricotroute_peer_bytes") / useful_tasks,
         "counters": counters,
     });
     let mut text = String::new();
-    // Writing to a string cannot fail.
+    // Writing to a `String` never fails.
     let _ = write!(text, "{report:#}");
     text
 }
 
-fn kind(key: &str) -> String {
+/// Returns the first label value of a metric, which is the kind of the messages.
+fn message_kind(key: &str) -> String {
     key.split('"').nth(1).unwrap_or(key).to_owned()
 }
 
+/// Summarizes a histogram of microseconds in milliseconds.
 fn quantiles(histogram: &Histogram<u64>) -> serde_json::Value {
-    let at = |share: f64| histogram.value_at_quantile(share) as f64 / 1_000.0;
+    let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
     json!({
         "count": histogram.len(),
         "p50": at(0.5),
--- a/crates/apricotroute/src/main.rs
+++ b/crates/apricotroute/src/main.rs
@@ -1,4 +1,4 @@
-//! The `apricotroute` command: one binary for instances, operators, trials and tests.
+//! The `apricotroute` command: a single binary for instances, operators, trials and tests.
 
 mod cli;
 mod client;
--- a/crates/apricotroute/src/operator.rs
+++ b/crates/apricotroute/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator side: settings, status, health and metrics.
+//! The HTTP interface for operators: settings, status, health and metrics.
 
 use std::sync;
 
@@ -12,14 +12,14 @@
 
 use crate::{client, control, reply};
 
-/// Answers operators.
+/// Handles the HTTP requests of operators.
 #[derive(Clone, Debug)]
 pub struct Operator {
     /// Name of the instance.
     pub instance: name::Name,
-    /// The control thread.
+    /// Handle of the control thread.
     pub control: control::Control,
-    /// Threads that read and write JSON.
+    /// Thread pool that parses requests and writes responses.
     pub pool: sync::Arc<pool::Pool>,
 }
 
@@ -43,12 +43,12 @@
             ("GET", "/readyz") => responder.send(client::readiness(&self.control)),
             ("GET", "/metrics") => responder.send(metrics()),
             ("GET", "/v1/status") => responder.send(self.status()),
-            ("GET", "/v1/changes") => responder.send(self.changes()),
+            ("GET", "/v1/changes") => responder.send(self.list_changes()),
             ("GET", _) if settings.is_some() => {
-                responder.send(self.show(settings.unwrap_or_default()));
+                responder.send(self.get_settings(settings.unwrap_or_default()));
             }
             ("PUT", _) if settings.is_some() => {
-                self.change(settings.unwrap_or_default(), request, responder);
+                self.put_settings(settings.unwrap_or_default(), request, responder);
             }
             _ if settings.is_some() => {
                 responder.send(self.bad(405, "find route", "the path takes no such method"));
@@ -68,7 +68,7 @@
         }
     }
 
-    fn show(&self, path: &str) -> Response {
+    fn get_settings(&self, path: &str) -> Response {
         let path = path.trim_matches('/');
         if let Some(why) = tree::path_fault(path) {
             return self.bad(400, "read path", why);
@@ -79,9 +79,9 @@
         };
         let mut values = Map::new();
         let mut from = Map::new();
-        for (key, found) in effective {
-            values.insert(key.to_owned(), found.value);
-            let origin = if found.origin.is_empty() { "/".to_owned() } else { found.origin };
+        for (key, setting) in effective {
+            values.insert(key.to_owned(), setting.value);
+            let origin = if setting.origin.is_empty() { "/".to_owned() } else { setting.origin };
             from.insert(key.to_owned(), origin.into());
         }
         let version = tree.version();
@@ -89,9 +89,9 @@
         Response::json(200, body.to_string())
     }
 
-    fn changes(&self) -> Response {
+    fn list_changes(&self) -> Response {
         let tree = self.control.view().tree();
-        let line = |record: &tree::Record| {
+        let entry = |record: &tree::Record| {
             let (outcome, version) = match record.outcome {
                 tree::Outcome::Accepted(version) => ("accepted", version),
                 tree::Outcome::Conflict(version) => ("conflict", version),
@@ -106,18 +106,18 @@
                 "version": version,
             })
         };
-        let list: Vec<_> = tree.records().map(line).collect();
+        let list: Vec<_> = tree.records().map(entry).collect();
         Response::json(200, json!({"version": tree.version(), "changes": list}).to_string())
     }
 
-    fn change(&self, path: &str, request: &Request, responder: Responder) {
+    fn put_settings(&self, path: &str, request: &Request, responder: Responder) {
         let change = match self.read_change(path, request) {
             Ok(change) => change,
             Err(response) => return responder.send(*response),
         };
         let peer = self.instance.clone();
         let respond: control::ReplyFn = Box::new(move |reply| {
-            responder.send(changed(&reply, peer.as_str()));
+            responder.send(change_response(&reply, peer.as_str()));
         });
         if let Err(respond) = self.control.ask(|ticket| Event::Change(ticket, change), respond) {
             respond(Reply::Untold("the instance has too much to do".to_owned()));
@@ -125,13 +125,13 @@
     }
 
     fn read_change(&self, path: &str, request: &Request) -> Result<tree::Change, Box<Response>> {
-        const LARGEST: usize = 64 << 10;
+        const MAX_BYTES: usize = 64 << 10;
         let bad = |status, step: &str, why: &str| Box::new(self.bad(status, step, why));
         let path = path.trim_matches('/');
         if let Some(why) = tree::path_fault(path) {
             return Err(bad(400, "read path", why));
         }
-        if request.body.len() > LARGEST {
+        if request.body.len() > MAX_BYTES {
             return Err(bad(413, "read change", "the change is too large"));
         }
         let body = proto::json::Change::parse(&request.body)
@@ -143,14 +143,14 @@
         };
         let faults = tree::value_faults(&body.values);
         if !faults.is_empty() {
-            return Err(Box::new(self.refuse_values(&faults)));
+            return Err(Box::new(self.invalid_values(&faults)));
         }
         let values = Value::Object(body.values).to_string();
         Ok(tree::Change { change, base: body.base, path: name::Name::new(path), values })
     }
 
-    /// A refusal that names every bad key.
-    fn refuse_values(&self, faults: &[(String, String)]) -> Response {
+    /// Returns a response that lists every invalid key with its reason.
+    fn invalid_values(&self, faults: &[(String, String)]) -> Response {
         let list: Vec<_> = faults.iter().map(|(key, why)| format!("{key}: {why}")).collect();
         let keys: Map<String, Value> =
             faults.iter().map(|(key, why)| (key.clone(), why.clone().into())).collect();
@@ -165,7 +165,7 @@
     }
 }
 
-fn changed(reply: &Reply, peer: &str) -> Response {
+fn change_response(reply: &Reply, peer: &str) -> Response {
     match reply {
         Reply::Changed(tree::Outcome::Accepted(version)) => {
             Response::json(200, json!({"version": version}).to_string())
--- a/crates/apricotroute/src/standin.rs
+++ b/crates/apricotroute/src/standin.rs
@@ -1,4 +1,5 @@
-//! A stand-in upstream for trials and tests: slots, service times, failure modes, a start log.
+//! A stand-in upstream for trials and tests, with configurable slots, service times and failure
+//! modes, and a log of task starts.
 
 use std::{collections, fs, io::Write as _, net, path, sync, thread, time};
 
@@ -9,50 +10,52 @@
 
 use crate::{error, remote};
 
-/// How a stand-in treats its tasks.
+/// How a stand-in responds to its tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Answers each one.
+    /// Completes each task.
     #[default]
     Answer,
-    /// Fails each one at once.
+    /// Fails each task immediately.
     Fail,
-    /// Never answers.
+    /// Starts each task and never responds.
     Hang,
-    /// Refuses each one as not run.
+    /// Refuses each task without running it.
     Refuse,
 }
 
-/// What a stand-in is.
+/// Configuration of a stand-in.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Name.
+    /// Name of the upstream.
     pub name: String,
     /// Path of the service.
     pub service: String,
-    /// Availability zone.
+    /// Name of the availability zone.
     pub zone: String,
-    /// Where it listens.
+    /// Address to listen on for tasks.
     pub listen: net::SocketAddr,
-    /// Instances that it announces itself to, one after the other.
-    pub to: Vec<String>,
-    /// Tasks it runs at a time.
+    /// Client addresses of the instances; announcements go to one of them at a time.
+    pub instances: Vec<String>,
+    /// Number of tasks that run concurrently.
     pub slots: u32,
-    /// Service time.
-    pub time: time::Duration,
-    /// One in so many tasks takes ten times as long; 0 = none.
+    /// Service time of a task.
+    pub service_time: time::Duration,
+    /// One in `tail` tasks, at random, takes ten times as long; 0 disables this.
     pub tail: u32,
-    /// How it treats its tasks.
+    /// How the stand-in responds to its tasks.
     pub mode: Mode,
-    /// File that each start is appended to before the task runs.
+    /// File to which each task start is appended before the task runs.
     pub log: Option<path::PathBuf>,
-    /// Cores, memory and accelerators that it declares.
-    pub room: (Option<f64>, Option<u64>, Option<u64>),
+    /// Declared cores, memory in MB and accelerators of one slot.
+    pub capacity: (Option<f64>, Option<u64>, Option<u64>),
 }
 
 #[derive(Debug, Default)]
-struct Book {
+struct TaskTable {
+    /// Running tasks by id, each with the responder of its request.
     running: collections::HashMap<String, Option<Responder>>,
+    /// Number of tasks started so far.
     starts: u64,
 }
 
@@ -60,7 +63,7 @@
 struct Handler {
     options: Options,
     runtime: tokio::runtime::Handle,
-    book: sync::Arc<sync::Mutex<Book>>,
+    table: sync::Arc<sync::Mutex<TaskTable>>,
     log: Option<sync::Mutex<fs::File>>,
 }
 
@@ -69,12 +72,12 @@
 pub struct Standin {
     options: Options,
     address: net::SocketAddr,
-    book: sync::Arc<sync::Mutex<Book>>,
+    table: sync::Arc<sync::Mutex<TaskTable>>,
     _runtime: sync::Arc<tokio::runtime::Runtime>,
     _listener: http::Listener,
 }
 
-/// A runtime that stand-ins run on.
+/// Creates a runtime that several stand-ins can share.
 pub fn runtime() -> error::Result<sync::Arc<tokio::runtime::Runtime>> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
@@ -85,7 +88,7 @@
 }
 
 impl Standin {
-    /// Starts a stand-in; it does not announce itself yet.
+    /// Starts a stand-in that listens for tasks but does not announce itself yet.
     pub fn start(
         options: Options,
         runtime: &sync::Arc<tokio::runtime::Runtime>,
@@ -98,55 +101,58 @@
             }
             None => None,
         };
-        let book = sync::Arc::default();
+        let table = sync::Arc::default();
         let handler = Handler {
             options: options.clone(),
             runtime: runtime.handle().clone(),
-            book: sync::Arc::clone(&book),
+            table: sync::Arc::clone(&table),
             log,
         };
         let listener = http::Listener::open(runtime, options.listen, sync::Arc::new(handler))
             .change_context_lazy(fault)?;
         let (address, runtime) = (listener.address(), sync::Arc::clone(runtime));
-        Ok(Self { options, address, book, _runtime: runtime, _listener: listener })
+        Ok(Self { options, address, table, _runtime: runtime, _listener: listener })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the stand-in listens.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Announces itself until `over` says so, then says that it is leaving.
-    pub fn announce(&self, over: impl Fn() -> bool) {
+    /// Announces the stand-in repeatedly until `stopped` returns true, then announces that it is
+    /// leaving.
+    pub fn announce(&self, stopped: impl Fn() -> bool) {
         const PAUSE: time::Duration = time::Duration::from_millis(100);
-        let remotes: Vec<_> = self.options.to.iter().map(|to| remote::Remote::new(to)).collect();
-        let mut turn = 0;
+        let remotes: Vec<_> =
+            self.options.instances.iter().map(|to| remote::Remote::new(to)).collect();
+        let mut target = 0;
         let mut next = time::Instant::now();
-        while !over() {
+        while !stopped() {
             if time::Instant::now() >= next && !remotes.is_empty() {
-                let lease = self.tell(&remotes[turn % remotes.len()], "serving");
+                let lease = self.send_announcement(&remotes[target % remotes.len()], "serving");
                 let wait = lease.map_or(PAUSE, |lease| lease / 3);
-                // A refused or lost announcement goes to the next instance.
-                turn += usize::from(lease.is_none());
+                // After a refused or lost announcement, the next one goes to the next instance.
+                target += usize::from(lease.is_none());
                 next = time::Instant::now() + wait;
             }
             thread::sleep(PAUSE.min(next.saturating_duration_since(time::Instant::now())));
         }
-        if let Some(remote) = remotes.get(turn % remotes.len().max(1)) {
-            self.tell(remote, "leaving");
+        if let Some(remote) = remotes.get(target % remotes.len().max(1)) {
+            self.send_announcement(remote, "leaving");
         }
     }
 
-    fn tell(&self, remote: &remote::Remote, phase: &str) -> Option<time::Duration> {
+    /// Announces `state` to one instance and returns the lease that it granted.
+    fn send_announcement(&self, remote: &remote::Remote, state: &str) -> Option<time::Duration> {
         let options = &self.options;
-        let (cores, memory, accelerators) = options.room;
+        let (cores, memory, accelerators) = options.capacity;
         let body = json!({
             "upstream": options.name,
             "service": options.service,
             "availability_zone": options.zone,
             "address": self.address.to_string(),
             "slots": options.slots,
-            "state": phase,
+            "state": state,
             "cores": cores,
             "memory_mb": memory,
             "accelerators": accelerators,
@@ -156,12 +162,12 @@
         Some(time::Duration::from_millis(lease.lease_ms))
     }
 
-    /// Waits until nothing runs any more.
+    /// Waits until no task is running, for a minute at most.
     pub fn drain(&self) {
         const PAUSE: time::Duration = time::Duration::from_millis(20);
-        const LONGEST: time::Duration = time::Duration::from_mins(1);
-        let until = time::Instant::now() + LONGEST;
-        let busy = || self.book.lock().is_ok_and(|book| !book.running.is_empty());
+        const MAX_WAIT: time::Duration = time::Duration::from_mins(1);
+        let until = time::Instant::now() + MAX_WAIT;
+        let busy = || self.table.lock().is_ok_and(|table| !table.running.is_empty());
         while busy() && time::Instant::now() < until {
             thread::sleep(PAUSE);
         }
@@ -175,7 +181,7 @@
             ("POST", Some("")) => self.start(&request, responder),
             ("DELETE", Some(task)) => self.stop(task.trim_start_matches('/'), responder),
             ("GET", None) if request.path == "/v1/starts" => {
-                let starts = self.book.lock().map_or(0, |book| book.starts);
+                let starts = self.table.lock().map_or(0, |table| table.starts);
                 responder.send(Response::json(200, json!({"starts": starts}).to_string()));
             }
             _ => responder.send(Response::text(404, "no such path\n")),
@@ -190,29 +196,29 @@
 impl Handler {
     fn start(&self, request: &Request, responder: Responder) {
         let task = request.header("Task-Id").unwrap_or_default().to_owned();
-        let Ok(mut book) = self.book.lock() else {
+        let Ok(mut table) = self.table.lock() else {
             return;
         };
-        let full = book.running.len() >= self.options.slots as usize;
+        let full = table.running.len() >= self.options.slots as usize;
         if full || self.options.mode == Mode::Refuse {
             let refusal = Response::text(503, "no slot is free\n").with_header("Not-Run", "true");
             return responder.send(refusal);
         }
-        book.starts += 1;
-        self.note(&task);
+        table.starts += 1;
+        self.log_start(&task);
         if self.options.mode == Mode::Fail {
             return responder.send(Response::text(500, "failed\n"));
         }
-        book.running.insert(task.clone(), Some(responder));
-        drop(book);
+        table.running.insert(task.clone(), Some(responder));
+        drop(table);
         if self.options.mode == Mode::Hang {
             return;
         }
         let answer = self.answer(&task, request);
-        let (book, length) = (sync::Arc::clone(&self.book), self.length());
+        let (table, service_time) = (sync::Arc::clone(&self.table), self.service_time());
         self.runtime.spawn(async move {
-            tokio::time::sleep(length).await;
-            let responder = book.lock().ok().and_then(|mut book| book.running.remove(&task));
+            tokio::time::sleep(service_time).await;
+            let responder = table.lock().ok().and_then(|mut table| table.running.remove(&task));
             if let Some(responder) = responder.flatten() {
                 responder.send(answer);
             }
@@ -231,14 +237,15 @@
         Response { status: 200, content, headers, body: request.body.clone() }
     }
 
-    fn length(&self) -> time::Duration {
-        const SLOWER: u32 = 10;
+    /// Draws the service time of a task.
+    fn service_time(&self) -> time::Duration {
+        const TAIL_FACTOR: u32 = 10;
         let slow = self.options.tail > 0 && rand::rng().random_range(0..self.options.tail) == 0;
-        if slow { self.options.time * SLOWER } else { self.options.time }
+        if slow { self.options.service_time * TAIL_FACTOR } else { self.options.service_time }
     }
 
-    /// Notes a start before the task runs.
-    fn note(&self, task: &str) {
+    /// Appends a task start to the start log before the task runs.
+    fn log_start(&self, task: &str) {
         let Some(Ok(mut file)) = self.log.as_ref().map(sync::Mutex::lock) else {
             return;
         };
@@ -246,14 +253,15 @@
         let at = wall.map_or(0, |wall| wall.as_millis() as u64);
         let line = json!({"task": task, "upstream": self.options.name, "at_ms": at});
         if let Err(e) = file.write_all(format!("{line}\n").as_bytes()) {
-            eprintln!("upstream: start log: {e}");
+            eprintln!("upstream: cannot write to the start log: {e}");
         }
     }
 
+    /// Stops a running task: its pending request fails, and the stop request succeeds.
     fn stop(&self, task: &str, responder: Responder) {
-        let running = self.book.lock().ok().and_then(|mut book| book.running.remove(task));
-        if let Some(waiting) = running.flatten() {
-            waiting.send(Response::text(500, "stopped\n"));
+        let running = self.table.lock().ok().and_then(|mut table| table.running.remove(task));
+        if let Some(stopped) = running.flatten() {
+            stopped.send(Response::text(500, "stopped\n"));
         }
         responder.send(Response::json(200, "{}"));
     }
