--- a/crates/link/src/caller.rs
+++ b/crates/link/src/caller.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP/1.1 from the runtime's threads, on connections that are kept.
+//! An asynchronous HTTP/1.1 client that reuses connections.
 
 use std::{collections, net, sync, time};
 
@@ -7,66 +7,67 @@
 use hyper::{client::conn::http1, header};
 use hyper_util::rt;
 
-/// Largest body of a response, bytes.
+/// Maximum size of a response body in bytes.
 const MAX_BODY: usize = 4 << 20;
-/// Time to connect: two opening packets within an availability zone may not be lost.
-const CONNECT: time::Duration = time::Duration::from_millis(200);
-/// A connection that was not used this long is not used again: the other side may have closed it.
-const IDLE: time::Duration = time::Duration::from_secs(10);
-/// Connections kept for one address.
-const KEPT: usize = 8;
-
-/// A request.
+/// Timeout for connecting. Neither of the two opening packets may be lost within an availability
+/// zone.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(200);
+/// An idle connection is not reused after this time, because the other side may have closed it.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// Maximum number of idle connections for one address.
+const MAX_IDLE: usize = 8;
+
+/// An HTTP request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Where it goes, `IP:PORT`.
+    /// Address of the server, `IP:PORT`.
     pub address: net::SocketAddr,
-    /// Method.
+    /// HTTP method.
     pub method: hyper::Method,
-    /// Path.
+    /// Request path.
     pub path: std::borrow::Cow<'static, str>,
-    /// Further headers.
+    /// Headers in addition to `Host` and `Content-Type`.
     pub headers: Vec<(&'static str, String)>,
     /// JSON body.
     pub body: Bytes,
-    /// Time until the call is given up.
-    pub patience: time::Duration,
+    /// Timeout of the whole call.
+    pub timeout: time::Duration,
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// Why there is no response.
+/// Why a call returned no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte of the request was written.
+    /// The client wrote no byte of the request.
     Unsent,
-    /// The request may have arrived.
+    /// The call failed after the request may have reached the server.
     Lost,
 }
 
-/// The method of most calls.
+/// HTTP method of most calls.
 pub const POST: hyper::Method = hyper::Method::POST;
-/// The method of calls that may be repeated.
+/// HTTP method of idempotent calls.
 pub const PUT: hyper::Method = hyper::Method::PUT;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-struct Kept {
+struct IdleConnection {
     sender: Sender,
-    used: time::Instant,
+    last_used: time::Instant,
 }
 
-/// Connections to other programs.
+/// An HTTP client with a pool of idle connections. Clones share the pool.
 #[derive(Clone, Default)]
 pub struct Caller {
-    kept: sync::Arc<sync::Mutex<collections::HashMap<net::SocketAddr, Vec<Kept>>>>,
+    idle: sync::Arc<sync::Mutex<collections::HashMap<net::SocketAddr, Vec<IdleConnection>>>>,
 }
 
 impl std::fmt::Debug for Caller {
@@ -76,7 +77,7 @@
 }
 
 impl Caller {
-    /// No connections yet.
+    /// Creates a client without open connections.
     pub fn new() -> Self {
         Self::default()
     }
@@ -85,68 +86,70 @@
     ///
     /// # Errors
     ///
-    /// There is no response in time, and whether the request may have arrived.
+    /// Returns a [`Failure`] if the response does not arrive in time. The variant says whether the
+    /// request may have reached the server.
     pub async fn call(&self, request: Request) -> Result<Response, Failure> {
-        let until = tokio::time::Instant::now() + request.patience;
-        let mut sender = self.sender(request.address, request.patience).await?;
+        let deadline = tokio::time::Instant::now() + request.timeout;
+        let mut sender = self.sender(request.address, request.timeout).await?;
         let address = request.address;
-        let whole = async {
+        let exchange = async {
             let response = sender.send_request(encode(request)).await.map_err(|e| failure(&e))?;
             let status = response.status().as_u16();
             let body = Limited::new(response.into_body(), MAX_BODY).collect().await;
             let body = body.ok().ok_or(Failure::Lost)?.to_bytes();
             Ok(Response { status, body })
         };
-        // A call that is given up takes its connection with it.
-        let response = tokio::time::timeout_at(until, whole).await.ok().ok_or(Failure::Lost)??;
-        self.keep(address, sender);
+        // A timeout drops the sender, which closes the connection.
+        let response =
+            tokio::time::timeout_at(deadline, exchange).await.ok().ok_or(Failure::Lost)??;
+        self.put_idle(address, sender);
         Ok(response)
     }
 
     async fn sender(
         &self,
         address: net::SocketAddr,
-        patience: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Sender, Failure> {
-        while let Some(mut sender) = self.take(address) {
+        while let Some(mut sender) = self.take_idle(address) {
             if sender.ready().await.is_ok() {
                 return Ok(sender);
             }
         }
-        connect(address, patience).await
+        connect(address, timeout).await
     }
 
-    /// A kept connection that is still open.
-    fn take(&self, address: net::SocketAddr) -> Option<Sender> {
-        let mut kept = self.kept.lock().ok()?;
-        let list = kept.get_mut(&address)?;
-        while let Some(Kept { sender, used }) = list.pop() {
-            if !sender.is_closed() && used.elapsed() < IDLE {
+    /// Takes an idle connection that is still open from the pool.
+    fn take_idle(&self, address: net::SocketAddr) -> Option<Sender> {
+        let mut idle = self.idle.lock().ok()?;
+        let list = idle.get_mut(&address)?;
+        while let Some(IdleConnection { sender, last_used }) = list.pop() {
+            if !sender.is_closed() && last_used.elapsed() < IDLE_TIMEOUT {
                 return Some(sender);
             }
         }
         None
     }
 
-    fn keep(&self, address: net::SocketAddr, sender: Sender) {
-        if let Ok(mut kept) = self.kept.lock() {
-            let list = kept.entry(address).or_default();
-            if list.len() < KEPT && !sender.is_closed() {
-                list.push(Kept { sender, used: time::Instant::now() });
+    fn put_idle(&self, address: net::SocketAddr, sender: Sender) {
+        if let Ok(mut idle) = self.idle.lock() {
+            let list = idle.entry(address).or_default();
+            if list.len() < MAX_IDLE && !sender.is_closed() {
+                list.push(IdleConnection { sender, last_used: time::Instant::now() });
             }
         }
     }
 }
 
-async fn connect(address: net::SocketAddr, patience: time::Duration) -> Result<Sender, Failure> {
+async fn connect(address: net::SocketAddr, timeout: time::Duration) -> Result<Sender, Failure> {
     let stream = tokio::net::TcpStream::connect(address);
-    let stream = tokio::time::timeout(CONNECT.min(patience), stream).await;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT.min(timeout), stream).await;
     let stream = stream.ok().and_then(Result::ok).ok_or(Failure::Unsent)?;
     stream.set_nodelay(true).ok().ok_or(Failure::Unsent)?;
     let handshake = http1::handshake(rt::TokioIo::new(stream)).await;
     let (sender, connection) = handshake.ok().ok_or(Failure::Unsent)?;
     tokio::spawn(async move {
-        // The call on it reports what went wrong.
+        // The call that uses this connection reports its errors.
         drop(connection.await);
     });
     Ok(sender)
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -1,26 +1,30 @@
-//! The one error type of this crate.
+//! The error type of this crate.
 
 use std::fmt;
 
-/// A failure of transport, with the step and the peer at which it arose.
+/// A transport error with the step that failed and the remote or local address concerned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     step: &'static str,
     peer: String,
-    why: String,
+    reason: String,
 }
 
 impl Error {
-    pub(crate) fn new(step: &'static str, peer: impl fmt::Display, why: impl fmt::Display) -> Self {
-        Self { step, peer: peer.to_string(), why: why.to_string() }
+    pub(crate) fn new(
+        step: &'static str,
+        peer: impl fmt::Display,
+        reason: impl fmt::Display,
+    ) -> Self {
+        Self { step, peer: peer.to_string(), reason: reason.to_string() }
     }
 
-    /// The step that failed.
+    /// Returns the name of the step that failed.
     pub fn step(&self) -> &'static str {
         self.step
     }
 
-    /// The address or name of the other side.
+    /// Returns the address or name of the peer, file or component concerned.
     pub fn peer(&self) -> &str {
         &self.peer
     }
@@ -28,7 +32,7 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {}: {}", self.step, self.peer, self.why)
+        write!(f, "{} {}: {}", self.step, self.peer, self.reason)
     }
 }
 
--- a/crates/link/src/gate.rs
+++ b/crates/link/src/gate.rs
@@ -1,5 +1,6 @@
-//! Lets a request out only while its lease lasts. The lease is looked at right before each write,
-//! after everything that takes time: finding the address, connecting, waiting for room in buffers.
+//! Blocks writes of a request after its lease has expired. The lease is checked immediately before
+//! each write, after the steps that take time: resolving the address, connecting and waiting for
+//! space in buffers.
 
 use std::{cell, io, net, time};
 
@@ -12,79 +13,82 @@
 };
 
 thread_local! {
-    /// The request that this thread makes. The client works on the thread that calls it.
-    static PRESENT: cell::Cell<Present> = const { cell::Cell::new(Present::NONE) };
+    /// State of the request that this thread sends. The client runs on the thread that calls it.
+    static CURRENT: cell::Cell<CallState> = const { cell::Cell::new(CallState::NONE) };
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Present {
+struct CallState {
     lease: Option<time::Instant>,
     written: bool,
-    stopped: bool,
+    blocked: bool,
 }
 
-impl Present {
-    const NONE: Self = Self { lease: None, written: false, stopped: false };
+impl CallState {
+    const NONE: Self = Self { lease: None, written: false, blocked: false };
 }
 
-/// How far a request came.
+/// How much of a request was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Passed {
-    /// It was let out, as far as it went.
+pub(crate) enum Written {
+    /// No write was blocked.
     All,
-    /// It was stopped before its first byte.
+    /// The first write was blocked, so that no byte was written.
     Nothing,
-    /// It was stopped midway.
+    /// A later write was blocked after part of the request was written.
     Part,
 }
 
-/// Makes a request under a lease; tells how much of it was let out.
-pub(crate) fn under<T>(lease: Option<time::Instant>, call: impl FnOnce() -> T) -> (T, Passed) {
-    PRESENT.set(Present { lease, ..Present::NONE });
-    let end = call();
-    let passed = match PRESENT.replace(Present::NONE) {
-        Present { stopped: false, .. } => Passed::All,
-        Present { written: false, .. } => Passed::Nothing,
-        Present { .. } => Passed::Part,
+/// Runs `call` under a lease. Returns its result and how much of the request was written.
+pub(crate) fn with_lease<T>(
+    lease: Option<time::Instant>,
+    call: impl FnOnce() -> T,
+) -> (T, Written) {
+    CURRENT.set(CallState { lease, ..CallState::NONE });
+    let result = call();
+    let written = match CURRENT.replace(CallState::NONE) {
+        CallState { blocked: false, .. } => Written::All,
+        CallState { written: false, .. } => Written::Nothing,
+        CallState { .. } => Written::Part,
     };
-    (end, passed)
+    (result, written)
 }
 
-/// Takes another write of the present request; false if its lease is over.
-fn pass() -> bool {
-    let present = PRESENT.get();
-    let stopped = present.lease.is_some_and(|lease| time::Instant::now() >= lease);
-    PRESENT.set(Present { written: present.written || !stopped, stopped, ..present });
-    !stopped
+/// Checks the lease before a write of the current request; returns false if it has expired.
+fn allow_write() -> bool {
+    let current = CURRENT.get();
+    let blocked = current.lease.is_some_and(|lease| time::Instant::now() >= lease);
+    CURRENT.set(CallState { written: current.written || !blocked, blocked, ..current });
+    !blocked
 }
 
-/// Puts a gate before each connection.
+/// A connector that wraps each connection in a [`LeaseTransport`].
 #[derive(Debug)]
-pub(crate) struct Gate;
+pub(crate) struct LeaseConnector;
 
-impl<In: Transport> Connector<In> for Gate {
-    type Out = Gated<In>;
+impl<In: Transport> Connector<In> for LeaseConnector {
+    type Out = LeaseTransport<In>;
 
     fn connect(
         &self,
         _: &ConnectionDetails<'_>,
         chained: Option<In>,
     ) -> Result<Option<Self::Out>, ureq::Error> {
-        Ok(chained.map(Gated))
+        Ok(chained.map(LeaseTransport))
     }
 }
 
-/// A connection behind a gate.
+/// A connection that checks the lease before each write.
 #[derive(Debug)]
-pub(crate) struct Gated<T>(T);
+pub(crate) struct LeaseTransport<T>(T);
 
-impl<T: Transport> Transport for Gated<T> {
+impl<T: Transport> Transport for LeaseTransport<T> {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.0.buffers()
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), ureq::Error> {
-        if !pass() {
+        if !allow_write() {
             return Err(io::Error::other("the lease is over").into());
         }
         self.0.transmit_output(amount, timeout)
@@ -99,7 +103,7 @@
     }
 }
 
-/// Reads addresses that are written out, without a thread to look them up.
+/// Parses literal `IP:PORT` addresses without starting a thread for a name lookup.
 #[derive(Debug, Default)]
 pub(crate) struct Resolver(resolver::DefaultResolver);
 
@@ -110,8 +114,8 @@
         config: &config::Config,
         timeout: NextTimeout,
     ) -> Result<resolver::ResolvedSocketAddrs, ureq::Error> {
-        let written = uri.authority().map(|authority| authority.as_str().parse());
-        let Some(Ok(address)) = written else {
+        let literal = uri.authority().map(|authority| authority.as_str().parse());
+        let Some(Ok(address)) = literal else {
             return self.0.resolve(uri, config, timeout);
         };
         let address: net::SocketAddr = address;
--- a/crates/link/src/http.rs
+++ b/crates/link/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 listeners with bounds on everything that a client sends.
+//! HTTP/1.1 listeners with limits on the size and duration of everything that a client sends.
 //!
-//! The house style names `tiny_http`. It keeps a thread for each body that is being read, has no
-//! bound on headers, and no time limit on a body that does not end; `hyper`, which `tonic` brings
-//! anyway, has all three. docs/DESIGN.md holds the measurement.
+//! The coding guidelines name `tiny_http`, but it uses one thread for each body that is being read,
+//! has no limit on headers and no timeout for a body that does not end. `hyper`, which `tonic`
+//! depends on anyway, covers all three. docs/DESIGN.md has the measurement.
 
 use std::{net, sync, time};
 
@@ -14,70 +14,71 @@
 
 use crate::{error, socket};
 
-/// Largest body of a request, bytes.
+/// Maximum size of a request body in bytes.
 pub const MAX_BODY: usize = 8 << 20;
-/// Most bytes of bodies held while they are being read, all requests together.
-pub const MAX_HELD: usize = 64 << 20;
-/// Largest head of a request, bytes.
+/// Maximum number of bytes buffered for all request bodies that are being read.
+pub const MAX_BUFFERED: usize = 64 << 20;
+/// Maximum size of a request head in bytes.
 pub const MAX_HEAD: usize = 64 << 10;
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 pub const MAX_HEADERS: usize = 64;
-/// Most connections of one listener.
+/// Maximum number of connections of one listener.
 pub const MAX_CONNECTIONS: usize = 4_096;
-/// Longest time for the head of a request.
-pub const HEAD_TIME: time::Duration = time::Duration::from_secs(10);
-/// Longest time for the body of a request.
-pub const BODY_TIME: time::Duration = time::Duration::from_secs(10);
-/// A body that is too large is read and dropped up to this size, so that the refusal arrives.
-const MAX_DROPPED: usize = 64 << 20;
-
-/// A whole request.
+/// Timeout for reading the head of a request.
+pub const HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// Timeout for reading the body of a request.
+pub const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// A body that is too large is read and discarded up to this size, so that the client receives the
+/// error response.
+const MAX_DISCARDED: usize = 64 << 20;
+
+/// A request that was received in full.
 #[derive(Debug)]
 pub struct Request {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path without the query.
+    /// Request path without the query.
     pub path: String,
-    /// Headers.
+    /// Request headers.
     pub headers: header::HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// A header as text; nothing if it is missing or not ASCII.
+    /// Returns a header as text, or `None` if it is missing or not ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header.
     pub content: String,
-    /// Further headers.
+    /// Headers in addition to `Content-Type`.
     pub headers: Vec<(&'static str, String)>,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// A JSON response.
+    /// Creates a JSON response.
     pub fn json(status: u16, body: impl Into<Bytes>) -> Self {
         let content = "application/json".to_owned();
         Self { status, content, headers: Vec::new(), body: body.into() }
     }
 
-    /// A plain text response.
+    /// Creates a plain text response.
     pub fn text(status: u16, body: impl Into<Bytes>) -> Self {
         let content = "text/plain; charset=utf-8".to_owned();
         Self { status, content, headers: Vec::new(), body: body.into() }
     }
 
-    /// This response with one more header.
+    /// Returns this response with one more header.
     #[must_use]
     pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
@@ -85,14 +86,15 @@
     }
 }
 
-/// What is to be done when a client leaves before it has its response.
-type LeftFn = Box<dyn FnOnce() + Send>;
-type Left = sync::Arc<sync::Mutex<Option<LeftFn>>>;
+/// Callback for a client that disconnects before it has received its response.
+type DisconnectFn = Box<dyn FnOnce() + Send>;
+type DisconnectSlot = sync::Arc<sync::Mutex<Option<DisconnectFn>>>;
 
-/// Takes the response to one request; dropped without one, the client gets a 500.
+/// Sends the response to one request. If it is dropped without a response, the client receives
+/// status 500.
 pub struct Responder {
     sender: async_sync::oneshot::Sender<Response>,
-    left: Left,
+    on_disconnect: DisconnectSlot,
 }
 
 impl std::fmt::Debug for Responder {
@@ -101,26 +103,26 @@
     }
 }
 
-/// Runs what was asked for if the wait for a response is given up.
-struct Wait {
-    left: Left,
+/// Runs the disconnect callback if it is dropped before the response is ready.
+struct DisconnectGuard {
+    on_disconnect: DisconnectSlot,
 }
 
-impl Wait {
-    /// The response is there.
-    fn end(&self) {
+impl DisconnectGuard {
+    /// Removes the callback, because the response is ready.
+    fn disarm(&self) {
         drop(self.take());
     }
 
-    fn take(&self) -> Option<LeftFn> {
-        self.left.lock().ok()?.take()
+    fn take(&self) -> Option<DisconnectFn> {
+        self.on_disconnect.lock().ok()?.take()
     }
 }
 
-impl Drop for Wait {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        if let Some(left) = self.take() {
-            left();
+        if let Some(callback) = self.take() {
+            callback();
         }
     }
 }
@@ -128,59 +130,60 @@
 impl Responder {
     /// Sends the response.
     pub fn send(self, response: Response) {
-        // The client may have gone; nobody is left to be told.
+        // Sending fails if the client has disconnected; the response is then not needed.
         drop(self.sender.send(response));
     }
 
-    /// Has `left` run if the client leaves before it has its response.
-    pub fn on_left(&self, left: impl FnOnce() + Send + 'static) {
-        if let Ok(mut held) = self.left.lock() {
-            *held = Some(Box::new(left));
+    /// Runs `callback` if the client disconnects before it has received its response.
+    pub fn on_disconnect(&self, callback: impl FnOnce() + Send + 'static) {
+        if let Ok(mut callback_slot) = self.on_disconnect.lock() {
+            *callback_slot = Some(Box::new(callback));
         }
     }
 
-    /// Whether the client still waits.
+    /// Returns whether the client is still waiting for the response.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 }
 
-/// Why a request never became whole.
+/// Why a request could not be received in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The body is larger than [`MAX_BODY`].
     TooLarge,
-    /// The body did not arrive in [`BODY_TIME`].
+    /// The body did not arrive within [`BODY_TIMEOUT`].
     TooSlow,
-    /// The body broke off.
+    /// The connection failed before the end of the body.
     Broken,
-    /// Too many bodies are being read.
+    /// The bodies that are being read exceed [`MAX_BUFFERED`].
     Crowded,
 }
 
-/// Answers requests.
+/// Handles the requests of a listener.
 pub trait Handler: Send + Sync {
-    /// Takes a request. It must not block; the responder may be used later, from any thread.
+    /// Handles a request. This method must not block; the responder may be used later, from any
+    /// thread.
     fn handle(&self, request: Request, responder: Responder);
 
-    /// The response to a request that never became whole.
+    /// Returns the response to a request that could not be received in full.
     fn fault(&self, fault: Fault) -> Response;
 }
 
-/// A listener that accepts until it is closed.
+/// A listener that accepts connections until it is closed.
 #[derive(Debug)]
 pub struct Listener {
     address: net::SocketAddr,
     close: async_sync::watch::Sender<bool>,
-    places: sync::Arc<async_sync::Semaphore>,
+    permits: sync::Arc<async_sync::Semaphore>,
 }
 
 impl Listener {
-    /// Listens on `address` and hands requests to `handler`.
+    /// Listens on `address` and passes requests to `handler`.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     ///
     /// ```no_run
     /// # fn run(runtime: &tokio::runtime::Runtime, handler: std::sync::Arc<dyn link::http::Handler>) {
@@ -194,26 +197,26 @@
         address: net::SocketAddr,
         handler: sync::Arc<dyn Handler>,
     ) -> Result<Self, error::Error> {
-        let fault = |e| error::Error::new("listen on", address, e);
-        let socket = socket::listen(runtime, address).map_err(fault)?;
-        let address = socket.local_addr().map_err(fault)?;
+        let bind_error = |e| error::Error::new("listen on", address, e);
+        let socket = socket::listen(runtime, address).map_err(bind_error)?;
+        let address = socket.local_addr().map_err(bind_error)?;
         let (close, closed) = async_sync::watch::channel(false);
-        let places = sync::Arc::new(async_sync::Semaphore::new(MAX_CONNECTIONS));
-        runtime.spawn(accept(socket, handler, closed, sync::Arc::clone(&places)));
-        Ok(Self { address, close, places })
+        let permits = sync::Arc::new(async_sync::Semaphore::new(MAX_CONNECTIONS));
+        runtime.spawn(accept(socket, handler, closed, sync::Arc::clone(&permits)));
+        Ok(Self { address, close, permits })
     }
 
-    /// The address that is listened on.
+    /// Returns the local address of the listener.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Open connections.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
-        MAX_CONNECTIONS - self.places.available_permits()
+        MAX_CONNECTIONS - self.permits.available_permits()
     }
 
-    /// Stops accepting; requests in progress go on.
+    /// Stops accepting connections. Requests in progress are completed.
     pub fn close(&self) {
         self.close.send_replace(true);
     }
@@ -221,19 +224,19 @@
 
 struct Shared {
     handler: sync::Arc<dyn Handler>,
-    held: async_sync::Semaphore,
+    body_permits: async_sync::Semaphore,
 }
 
 async fn accept(
     socket: tokio::net::TcpListener,
     handler: sync::Arc<dyn Handler>,
     mut closed: async_sync::watch::Receiver<bool>,
-    places: sync::Arc<async_sync::Semaphore>,
+    permits: sync::Arc<async_sync::Semaphore>,
 ) {
-    let held = async_sync::Semaphore::new(MAX_HELD);
-    let shared = sync::Arc::new(Shared { handler, held });
+    let body_permits = async_sync::Semaphore::new(MAX_BUFFERED);
+    let shared = sync::Arc::new(Shared { handler, body_permits });
     loop {
-        let Ok(place) = sync::Arc::clone(&places).acquire_owned().await else {
+        let Ok(permit) = sync::Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
@@ -241,7 +244,7 @@
             _ = closed.changed() => return,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of file descriptors: let some connections end first.
+            // The process is out of file descriptors. Wait until some connections end.
             tokio::time::sleep(time::Duration::from_millis(20)).await;
             continue;
         };
@@ -249,7 +252,7 @@
         let closed = closed.clone();
         tokio::spawn(async move {
             serve(stream, shared, closed).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
@@ -268,12 +271,12 @@
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(rt::TokioTimer::new())
-        .header_read_timeout(HEAD_TIME)
+        .header_read_timeout(HEAD_TIMEOUT)
         .max_headers(MAX_HEADERS)
         .max_buf_size(MAX_HEAD)
         .serve_connection(rt::TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // A connection that breaks is the client's affair; there is nobody to tell.
+    // A broken connection is not reported, because its client can no longer be answered.
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = closed.wait_for(|closed| *closed) => connection.as_mut().graceful_shutdown(),
@@ -286,8 +289,8 @@
     shared: &Shared,
 ) -> hyper::Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
-    let read = tokio::time::timeout(BODY_TIME, read_body(body, &shared.held));
-    let body = match read.await {
+    let reading = tokio::time::timeout(BODY_TIMEOUT, read_body(body, &shared.body_permits));
+    let body = match reading.await {
         Ok(Ok(body)) => body,
         Ok(Err(fault)) => return encode(shared.handler.fault(fault), true),
         Err(_) => return encode(shared.handler.fault(Fault::TooSlow), true),
@@ -295,19 +298,22 @@
     let path = head.uri.path().to_owned();
     let request = Request { method: head.method, path, headers: head.headers, body };
     let (sender, receiver) = async_sync::oneshot::channel();
-    let wait = Wait { left: Left::default() };
-    let left = sync::Arc::clone(&wait.left);
-    shared.handler.handle(request, Responder { sender, left });
+    let guard = DisconnectGuard { on_disconnect: DisconnectSlot::default() };
+    let on_disconnect = sync::Arc::clone(&guard.on_disconnect);
+    shared.handler.handle(request, Responder { sender, on_disconnect });
     let response = receiver.await;
-    wait.end();
+    guard.disarm();
     match response {
         Ok(response) => encode(response, false),
         Err(_) => encode(Response::text(500, "no response\n"), true),
     }
 }
 
-/// Reads a whole body within the bounds.
-async fn read_body(mut body: Incoming, held: &async_sync::Semaphore) -> Result<Bytes, Fault> {
+/// Reads a whole body within the size limits.
+async fn read_body(
+    mut body: Incoming,
+    body_permits: &async_sync::Semaphore,
+) -> Result<Bytes, Fault> {
     let mut permits = Vec::new();
     let mut parts = Vec::new();
     let mut size = 0;
@@ -320,12 +326,12 @@
         if size > MAX_BODY {
             parts.clear();
             permits.clear();
-            if size > MAX_DROPPED {
+            if size > MAX_DISCARDED {
                 break;
             }
             continue;
         }
-        let permit = held.try_acquire_many(data.len() as u32).ok();
+        let permit = body_permits.try_acquire_many(data.len() as u32).ok();
         let permit = permit.ok_or(Fault::Crowded)?;
         permits.push(permit);
         parts.push(data);
@@ -351,7 +357,7 @@
         builder = builder.header(header::CONNECTION, "close");
     }
     builder.body(Full::new(response.body)).unwrap_or_else(|_| {
-        // A content type that no header may hold.
+        // The content type or a header is not a valid header value.
         hyper::Response::new(Full::new(Bytes::new()))
     })
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,7 +1,8 @@
 //! Transport: HTTP listeners, streams between instances, calls to upstreams, spans and metrics.
 //!
-//! Nothing here decides anything. Listeners hand requests to a [`http::Handler`] or an
-//! [`peer::Inbox`]; the embedder answers when it can, without holding a thread meanwhile.
+//! This crate makes no scheduling decisions. Listeners pass requests to an [`http::Handler`] and
+//! peer messages to a [`peer::Inbox`]. The embedding program answers asynchronously, so that no
+//! thread is blocked while a request is pending.
 //!
 //! ```
 //! let parent: link::trace::Context =
--- a/crates/link/src/metric.rs
+++ b/crates/link/src/metric.rs
@@ -1,4 +1,4 @@
-//! Metrics by `opentelemetry`, shown as Prometheus text.
+//! Metrics collected with `opentelemetry` and exported as Prometheus text.
 
 use std::{sync, time};
 
@@ -11,38 +11,38 @@
 
 use crate::error;
 
-/// The instruments of a process.
+/// The metric instruments of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: prometheus::Registry,
     provider: sdk::SdkMeterProvider,
     messages: Counter<u64>,
     bytes: Counter<u64>,
-    refused: Counter<u64>,
-    over: Histogram<f64>,
+    refused_announcements: Counter<u64>,
+    over_ideal: Histogram<f64>,
     calls: Histogram<f64>,
-    starts: Histogram<f64>,
-    first_starts: Histogram<f64>,
+    start_waits: Histogram<f64>,
+    first_waits: Histogram<f64>,
     idle_rooms: Histogram<f64>,
     load_ages: Histogram<f64>,
-    parts: Histogram<f64>,
+    task_parts: Histogram<f64>,
     replies: Histogram<f64>,
-    syncs: Histogram<f64>,
-    reads: Histogram<f64>,
-    left_out: Counter<u64>,
+    disk_syncs: Histogram<f64>,
+    config_reads: Histogram<f64>,
+    dropped_lines: Counter<u64>,
 }
 
 static METRICS: sync::OnceLock<Metrics> = sync::OnceLock::new();
 
-/// Values that are read when metrics are asked for: name, labels, value.
+/// A gauge reading taken when metrics are exported: name, labels, value.
 pub type Reading = (&'static str, Vec<(&'static str, String)>, f64);
 
 impl Metrics {
-    /// Sets up the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
-    /// The exporter refuses its registry.
+    /// Returns an error if the exporter rejects its registry.
     ///
     /// ```
     /// assert!(link::metric::Metrics::new().is_ok());
@@ -57,7 +57,7 @@
             .map_err(|e| error::Error::new("set up metrics", "registry", e))?;
         let provider = sdk::SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("apricotroute");
-        let bounds = vec![0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1_000.0];
+        let millis = vec![0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1_000.0];
         let seconds = |name: &'static str| {
             let bounds = vec![0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0];
             meter.f64_histogram(name).with_boundaries(bounds).build()
@@ -65,24 +65,24 @@
         Ok(Self {
             messages: meter.u64_counter("peer_messages").build(),
             bytes: meter.u64_counter("peer_bytes").build(),
-            refused: meter.u64_counter("announcements_refused").build(),
-            over: meter.f64_histogram("over_ideal_ms").with_boundaries(bounds).build(),
+            refused_announcements: meter.u64_counter("announcements_refused").build(),
+            over_ideal: meter.f64_histogram("over_ideal_ms").with_boundaries(millis).build(),
             calls: seconds("upstream_call_seconds"),
-            starts: seconds("start_wait_seconds"),
-            first_starts: seconds("first_start_wait_seconds"),
+            start_waits: seconds("start_wait_seconds"),
+            first_waits: seconds("first_start_wait_seconds"),
             idle_rooms: seconds("idle_room_seconds"),
             load_ages: seconds("load_age_seconds"),
-            parts: seconds("task_part_seconds"),
+            task_parts: seconds("task_part_seconds"),
             replies: seconds("reply_seconds"),
-            syncs: seconds("disk_sync_seconds"),
-            reads: seconds("settings_read_seconds"),
-            left_out: meter.u64_counter("log_lines_left_out").build(),
+            disk_syncs: seconds("disk_sync_seconds"),
+            config_reads: seconds("settings_read_seconds"),
+            dropped_lines: meter.u64_counter("log_lines_left_out").build(),
             registry,
             provider,
         })
     }
 
-    /// Adds a gauge whose values are read when they are asked for.
+    /// Adds a gauge whose values are read when metrics are exported.
     pub fn watch(
         &self,
         name: &'static str,
@@ -99,7 +99,7 @@
         gauge.build()
     }
 
-    /// All metrics as Prometheus text.
+    /// Returns all metrics as Prometheus text.
     pub fn text(&self) -> String {
         let mut text = Vec::new();
         let encoder = prometheus::TextEncoder::new();
@@ -110,17 +110,17 @@
     }
 }
 
-/// The instruments of this process, once [`install`] was called.
+/// Returns the instruments of this process, or `None` before [`install`] is called.
 pub fn metrics() -> Option<&'static Metrics> {
     METRICS.get()
 }
 
-/// Makes `metrics` the instruments of this process; the first call counts.
+/// Makes `metrics` the instruments of this process. Only the first call has an effect.
 pub fn install(metrics: Metrics) -> &'static Metrics {
     METRICS.get_or_init(|| metrics)
 }
 
-/// Counts a message between instances by its kind.
+/// Counts a message between instances and its size, by kind.
 pub fn count_message(kind: &'static str, bytes: usize) {
     if let Some(metrics) = metrics() {
         let labels = [KeyValue::new("kind", kind)];
@@ -129,21 +129,21 @@
     }
 }
 
-/// Counts an announcement of an upstream that was not taken, by what is wrong with it.
+/// Counts a rejected announcement of an upstream, by the reason for the rejection.
 pub fn count_refused_announcement(what: &'static str) {
     if let Some(metrics) = metrics() {
-        metrics.refused.add(1, &[KeyValue::new("what", what)]);
+        metrics.refused_announcements.add(1, &[KeyValue::new("what", what)]);
     }
 }
 
-/// Notes by how much an answer was later than its longest task, milliseconds.
+/// Records by how many milliseconds an answer was later than its longest task.
 pub fn note_over(service: &str, ms: f64) {
     if let Some(metrics) = metrics() {
-        metrics.over.record(ms, &[KeyValue::new("service", service.to_owned())]);
+        metrics.over_ideal.record(ms, &[KeyValue::new("service", service.to_owned())]);
     }
 }
 
-/// Notes how long a call to an upstream took, by what it orders and what came of it.
+/// Records the duration of a call to an upstream, by its order and its outcome.
 pub fn note_call(order: &'static str, outcome: &'static str, took: time::Duration) {
     if let Some(metrics) = metrics() {
         let labels = [KeyValue::new("order", order), KeyValue::new("outcome", outcome)];
@@ -151,42 +151,44 @@
     }
 }
 
-/// Notes how long a task waited from its job's arrival until it was started.
+/// Records how long a task waited between the arrival of its job and its own start.
 pub fn note_start(waited: time::Duration) {
     if let Some(metrics) = metrics() {
-        metrics.starts.record(waited.as_secs_f64(), &[]);
+        metrics.start_waits.record(waited.as_secs_f64(), &[]);
     }
 }
 
-/// Notes how long a job waited until the first of its tasks was started.
+/// Records the time from a job's arrival until the first of its tasks was started.
 pub fn note_first_start(waited: time::Duration) {
     if let Some(metrics) = metrics() {
-        metrics.first_starts.record(waited.as_secs_f64(), &[]);
+        metrics.first_waits.record(waited.as_secs_f64(), &[]);
     }
 }
 
-/// Notes how long room stood empty while the task waited that was started there then.
+/// Records how long room on an upstream was unused while the task that was then started there was
+/// already waiting.
 pub fn note_idle_room(idle: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.idle_rooms.record(idle.as_secs_f64(), &[]);
     }
 }
 
-/// Notes how long a part of a task took: its order, its work, or until its end was told.
+/// Records the duration of one part of a task: the order to start it, its work, or the report of
+/// its end.
 pub fn note_part(part: &'static str, took: time::Duration) {
     if let Some(metrics) = metrics() {
-        metrics.parts.record(took.as_secs_f64(), &[KeyValue::new("part", part)]);
+        metrics.task_parts.record(took.as_secs_f64(), &[KeyValue::new("part", part)]);
     }
 }
 
-/// Notes how old the word of a zone's room was by which tasks were handed there.
+/// Records the age of the report of a zone's free room that was used to hand tasks to the zone.
 pub fn note_load_age(age: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.load_ages.record(age.as_secs_f64(), &[]);
     }
 }
 
-/// Notes how long a reply took, by its outcome and the service that was asked for.
+/// Records the time until a reply, by its outcome and the requested service.
 pub fn note_reply(outcome: &'static str, service: &str, took: time::Duration) {
     if let Some(metrics) = metrics() {
         let service = KeyValue::new("service", service.to_owned());
@@ -194,23 +196,23 @@
     }
 }
 
-/// Notes how long a synced write to the disk took.
+/// Records the duration of a synced write to the disk.
 pub fn note_sync(took: time::Duration) {
     if let Some(metrics) = metrics() {
-        metrics.syncs.record(took.as_secs_f64(), &[]);
+        metrics.disk_syncs.record(took.as_secs_f64(), &[]);
     }
 }
 
-/// Notes how long a configuration took to be read and checked before it was in force.
+/// Records the time to read and check a configuration before it took effect.
 pub fn note_read(took: time::Duration) {
     if let Some(metrics) = metrics() {
-        metrics.reads.record(took.as_secs_f64(), &[]);
+        metrics.config_reads.record(took.as_secs_f64(), &[]);
     }
 }
 
-/// Counts a log line that was left out to bound their number, by its text.
+/// Counts a log line that was left out to limit the log rate, by its message.
 pub fn count_left_out(kind: &'static str) {
     if let Some(metrics) = metrics() {
-        metrics.left_out.add(1, &[KeyValue::new("kind", kind)]);
+        metrics.dropped_lines.add(1, &[KeyValue::new("kind", kind)]);
     }
 }
--- a/crates/link/src/peer.rs
+++ b/crates/link/src/peer.rs
@@ -1,8 +1,9 @@
-//! Streams between instances: each instance dials every other one and sends on its own stream.
+//! gRPC streams between instances: each instance connects to every other one and sends on its own
+//! stream.
 //!
-//! A stream says in its first message who opened it and whom it means to reach. A silent peer is
-//! found by HTTP/2 pings, so that a stream over a cut link is dialled anew as soon as the link is
-//! back, and does not wait for the retransmissions of the former one.
+//! The first message of a stream names the instance that opened it and the instance it is meant
+//! for. HTTP/2 pings detect an unresponsive peer, so that a stream over a broken link is reopened
+//! as soon as the link works again and does not wait for TCP retransmissions on the old connection.
 
 use std::{net, sync, time};
 
@@ -14,34 +15,35 @@
 
 use crate::{error, metric, socket};
 
-/// Batches that wait for a peer; more are dropped, as on a cut link.
-const QUEUE: usize = 4_096;
-/// Largest message.
+/// Maximum number of batches queued for a peer. Further batches are dropped, as on a broken link.
+const QUEUE_CAPACITY: usize = 4_096;
+/// Maximum size of a message in bytes.
 const MAX_MESSAGE: usize = 64 << 20;
-/// Time to connect at first: twenty-five round trips between zones. What was sent to a machine without
-/// power is lost, and only another attempt finds it once it is back. After a loss of power
-/// everywhere, entries that came back 30 to 100 ms after a keeper met it 200 ms after its first attempt with
-/// 100 ms here and as long a pause.
-const CONNECT: time::Duration = time::Duration::from_millis(50);
-/// Attempts that are made so, a second of them; ones to a peer that is away for longer take [`LONGER`].
-const QUICK: u32 = 20;
-/// Pause between two of them.
-const SOON: time::Duration = time::Duration::from_millis(10);
-/// Time for any later attempt to connect: each one costs packets and time at both ends.
-const LONGER: time::Duration = time::Duration::from_millis(500);
-/// Pause between two later attempts to connect, and after a stream that broke.
-const REDIAL: time::Duration = time::Duration::from_millis(100);
-/// Interval of pings on a stream.
-const PING: time::Duration = time::Duration::from_secs(3);
-/// A ping without an answer ends the stream after this.
-const PING_TIME: time::Duration = time::Duration::from_secs(1);
-
-/// Takes messages of other instances.
+/// Connect timeout of the first attempts: 25 round trips between zones. Packets sent to a machine
+/// without power are lost, and only a new attempt reaches it once it is back. With a timeout and a
+/// pause of 100 ms each, entries that came back from a power loss of all machines 30 to 100 ms
+/// after a keeper were connected to it only 200 ms after its first attempt.
+const QUICK_TIMEOUT: time::Duration = time::Duration::from_millis(50);
+/// Number of first attempts, which take one second. Later attempts, to a peer that is unreachable
+/// for longer, use [`SLOW_TIMEOUT`].
+const QUICK_ATTEMPTS: u32 = 20;
+/// Pause between two of the first attempts.
+const QUICK_PAUSE: time::Duration = time::Duration::from_millis(10);
+/// Connect timeout of later attempts. Each attempt costs packets and time on both sides.
+const SLOW_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Pause between two later attempts to connect, and after a stream has failed.
+const SLOW_PAUSE: time::Duration = time::Duration::from_millis(100);
+/// Interval of HTTP/2 pings on a stream.
+const PING_INTERVAL: time::Duration = time::Duration::from_secs(3);
+/// A stream is closed if a ping is not answered within this time.
+const PING_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+
+/// Receives messages from other instances.
 pub trait Inbox: Send + Sync {
-    /// Takes one encoded body; tells whether it was understood.
+    /// Receives one encoded body. Returns whether it could be decoded.
     fn deliver(&self, from: &name::Name, body: Bytes) -> bool;
 
-    /// Whether `name` may open a stream here.
+    /// Returns whether the instance `name` may open a stream to this instance.
     fn knows(&self, name: &name::Name) -> bool;
 }
 
@@ -52,12 +54,13 @@
 }
 
 impl Outbox {
-    /// No streams yet.
+    /// Creates an outbox without streams.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a stream from `me` to the instance `to`, dialled until it is there, again and again.
+    /// Adds a stream from the instance `me` to the instance `to`. It is reopened whenever it fails,
+    /// until the peer is dropped.
     #[must_use]
     pub fn with_peer(
         mut self,
@@ -66,25 +69,26 @@
         to: &name::Name,
         address: net::SocketAddr,
     ) -> Self {
-        let (sender, receiver) = mpsc::channel(QUEUE);
-        runtime.spawn(dial(me.clone(), to.clone(), address, receiver));
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        runtime.spawn(run_sender(me.clone(), to.clone(), address, receiver));
         self.streams.insert(to.clone(), sender);
         self
     }
 
-    /// Ends the stream to `to`.
+    /// Closes the stream to the instance `to`.
     pub fn drop_peer(&mut self, to: &name::Name) {
         self.streams.remove(to);
     }
 
-    /// Sends a batch of encoded bodies; it is lost if the peer is out of reach for long.
+    /// Queues a batch of encoded bodies for `to`. Returns false if there is no stream or its queue
+    /// is full. A queued batch is lost if the peer is unreachable for long.
     pub fn send(&self, to: &name::Name, bodies: Vec<Bytes>) -> bool {
         let stream = self.streams.get(to);
         stream.is_some_and(|stream| stream.try_send(bodies).is_ok())
     }
 }
 
-async fn dial(
+async fn run_sender(
     me: name::Name,
     to: name::Name,
     address: net::SocketAddr,
@@ -93,27 +97,30 @@
     let Ok(endpoint) = tonic::transport::Endpoint::from_shared(format!("http://{address}")) else {
         return;
     };
-    let endpoint =
-        endpoint.tcp_nodelay(true).http2_keep_alive_interval(PING).keep_alive_timeout(PING_TIME);
-    let mut failed = 0;
+    let endpoint = endpoint
+        .tcp_nodelay(true)
+        .http2_keep_alive_interval(PING_INTERVAL)
+        .keep_alive_timeout(PING_TIMEOUT);
+    let mut failures = 0;
     while !queue.is_closed() {
-        let quick = failed < QUICK;
-        let time = if quick { CONNECT } else { LONGER };
-        let mut pause = if quick { SOON } else { REDIAL };
-        if let Ok(channel) = endpoint.clone().connect_timeout(time).connect().await {
-            converse(channel, &me, &to, &mut queue).await;
-            failed = 0;
-            pause = REDIAL;
+        let quick = failures < QUICK_ATTEMPTS;
+        let timeout = if quick { QUICK_TIMEOUT } else { SLOW_TIMEOUT };
+        let mut pause = if quick { QUICK_PAUSE } else { SLOW_PAUSE };
+        if let Ok(channel) = endpoint.clone().connect_timeout(timeout).connect().await {
+            run_stream(channel, &me, &to, &mut queue).await;
+            failures = 0;
+            pause = SLOW_PAUSE;
         }
-        failed += 1;
-        // What waited for a stream that never came is as good as lost on the way.
+        failures += 1;
+        // Batches that were queued while no stream was open are dropped, like messages lost in
+        // transit.
         while queue.try_recv().is_ok() {}
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Sends on one stream until it breaks.
-async fn converse(
+/// Sends queued batches on one stream until it fails.
+async fn run_stream(
     channel: tonic::transport::Channel,
     me: &name::Name,
     to: &name::Name,
@@ -146,7 +153,7 @@
     }
 }
 
-/// Accepts the streams of the other instances.
+/// A gRPC server that accepts the streams of other instances.
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
@@ -157,7 +164,7 @@
     ///
     /// # Errors
     ///
-    /// The address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     ///
     /// ```no_run
     /// # fn run(runtime: &tokio::runtime::Runtime, inbox: std::sync::Arc<dyn link::peer::Inbox>) {
@@ -172,9 +179,9 @@
         me: &name::Name,
         inbox: sync::Arc<dyn Inbox>,
     ) -> Result<Self, error::Error> {
-        let fault = |e| error::Error::new("listen for instances on", address, e);
-        let socket = socket::listen(runtime, address).map_err(fault)?;
-        let address = socket.local_addr().map_err(fault)?;
+        let bind_error = |e| error::Error::new("listen for instances on", address, e);
+        let socket = socket::listen(runtime, address).map_err(bind_error)?;
+        let address = socket.local_addr().map_err(bind_error)?;
         let service = peer::peer_server::PeerServer::new(Service { me: me.clone(), inbox })
             .max_decoding_message_size(MAX_MESSAGE);
         let incoming = wrappers::TcpListenerStream::new(socket).map(|stream| {
@@ -183,14 +190,14 @@
             Ok::<_, std::io::Error>(stream)
         });
         let server = tonic::transport::Server::builder()
-            .http2_keepalive_interval(Some(PING))
-            .http2_keepalive_timeout(Some(PING_TIME))
+            .http2_keepalive_interval(Some(PING_INTERVAL))
+            .http2_keepalive_timeout(Some(PING_TIMEOUT))
             .add_service(service);
         runtime.spawn(server.serve_with_incoming(incoming));
         Ok(Self { address })
     }
 
-    /// The address that is listened on.
+    /// Returns the local address of the listener.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
--- a/crates/link/src/pool.rs
+++ b/crates/link/src/pool.rs
@@ -1,21 +1,21 @@
-//! An elastic pool of threads for calls that block.
+//! A thread pool for blocking calls that grows and shrinks with the load.
 
 use std::{sync, sync::atomic, thread, time};
 
-/// A thread without work ends after this.
-const IDLE: time::Duration = time::Duration::from_secs(10);
-/// Stack of a thread, bytes.
-const STACK: usize = 256 << 10;
+/// An idle thread ends after this time.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// Stack size of a thread in bytes.
+const STACK_SIZE: usize = 256 << 10;
 
-type Work = Box<dyn FnOnce() + Send>;
+type Task = Box<dyn FnOnce() + Send>;
 
-/// Threads that grow with the calls under way, up to a bound.
+/// A thread pool that grows with the number of concurrent calls, up to a limit.
 #[derive(Debug)]
 pub struct Pool {
     name: &'static str,
     limit: usize,
-    sender: crossbeam_channel::Sender<Work>,
-    receiver: crossbeam_channel::Receiver<Work>,
+    sender: crossbeam_channel::Sender<Task>,
+    receiver: crossbeam_channel::Receiver<Task>,
     counts: sync::Arc<Counts>,
 }
 
@@ -26,44 +26,45 @@
 }
 
 impl Pool {
-    /// A pool of at most `limit` threads.
+    /// Creates a pool of at most `limit` threads.
     pub fn new(name: &'static str, limit: usize) -> Self {
         let (sender, receiver) = crossbeam_channel::unbounded();
         Self { name, limit, sender, receiver, counts: sync::Arc::default() }
     }
 
-    /// Threads at present.
+    /// Returns the current number of threads.
     pub fn threads(&self) -> usize {
         self.counts.threads.load(atomic::Ordering::Relaxed)
     }
 
-    /// Runs `work` on a thread of the pool; it waits if all are busy and the bound is reached.
-    pub fn run(&self, work: impl FnOnce() + Send + 'static) {
-        let waiting = self.sender.len();
-        // The pool itself holds a receiver, so the channel is open.
-        drop(self.sender.send(Box::new(work)));
+    /// Runs `task` on a thread of the pool. The task is queued if all threads are busy and the
+    /// limit is reached.
+    pub fn run(&self, task: impl FnOnce() + Send + 'static) {
+        let queued = self.sender.len();
+        // Sending cannot fail: the pool itself holds a receiver, so the channel is open.
+        drop(self.sender.send(Box::new(task)));
         let idle = self.counts.idle.load(atomic::Ordering::Relaxed);
-        if idle <= waiting && self.threads() < self.limit {
-            self.grow();
+        if idle <= queued && self.threads() < self.limit {
+            self.spawn_thread();
         }
     }
 
-    fn grow(&self) {
+    fn spawn_thread(&self) {
         let receiver = self.receiver.clone();
         let counts = sync::Arc::clone(&self.counts);
         counts.threads.fetch_add(1, atomic::Ordering::Relaxed);
-        let builder = thread::Builder::new().name(self.name.to_owned()).stack_size(STACK);
-        let spawned = builder.spawn(move || work(&receiver, &counts));
+        let builder = thread::Builder::new().name(self.name.to_owned()).stack_size(STACK_SIZE);
+        let spawned = builder.spawn(move || run_tasks(&receiver, &counts));
         if spawned.is_err() {
             self.counts.threads.fetch_sub(1, atomic::Ordering::Relaxed);
         }
     }
 }
 
-fn work(receiver: &crossbeam_channel::Receiver<Work>, counts: &Counts) {
+fn run_tasks(receiver: &crossbeam_channel::Receiver<Task>, counts: &Counts) {
     loop {
         counts.idle.fetch_add(1, atomic::Ordering::Relaxed);
-        let next = receiver.recv_timeout(IDLE);
+        let next = receiver.recv_timeout(IDLE_TIMEOUT);
         counts.idle.fetch_sub(1, atomic::Ordering::Relaxed);
         match next {
             Ok(next) => next(),
--- a/crates/link/src/span.rs
+++ b/crates/link/src/span.rs
@@ -1,4 +1,4 @@
-//! Spans, one for each hop, exported through `opentelemetry` as JSON lines or by OTLP.
+//! Trace spans, one for each hop, exported through `opentelemetry` as JSON lines or by OTLP.
 
 use std::{cell, fs, io::Write as _, path, sync, time};
 
@@ -18,52 +18,53 @@
 
 use crate::{error, trace};
 
-/// Which side of a hop a span stands for.
+/// The side of a hop that a span describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The side that is called.
+    /// The span describes the called side.
     Server,
-    /// The side that calls.
+    /// The span describes the calling side.
     Client,
-    /// Neither.
+    /// The span describes work without a remote call.
     Internal,
 }
 
 /// One finished span.
 #[derive(Clone, Debug)]
 pub struct Span {
-    /// Its place in the trace.
+    /// Ids of the span and its trace.
     pub context: trace::Context,
-    /// The span above it.
+    /// The parent span.
     pub parent: Option<trace::Context>,
-    /// What was done.
+    /// Name of the operation.
     pub name: &'static str,
     /// Side of the hop.
     pub side: Side,
-    /// When it began.
+    /// Start time.
     pub start: time::SystemTime,
-    /// What it is about.
+    /// Attributes.
     pub notes: Vec<(&'static str, String)>,
 }
 
-/// Where finished spans go.
+/// Exports finished spans.
 #[derive(Clone, Debug)]
 pub struct Spans {
     provider: Option<sdk::SdkTracerProvider>,
 }
 
 impl Spans {
-    /// Spans go nowhere.
+    /// Returns an exporter that discards all spans.
     pub fn none() -> Self {
         Self { provider: None }
     }
 
-    /// Spans of an instance go to a file of JSON lines, to an OTLP collector by gRPC at a URL, to
-    /// both or to neither. It must be called inside the runtime that the collector is reached by.
+    /// Exports the spans of an instance to a file of JSON lines, to the OTLP collector at a URL by
+    /// gRPC, to both or to neither. This must be called in the context of the runtime that runs the
+    /// connection to the collector.
     ///
     /// # Errors
     ///
-    /// The file cannot be opened, or the URL is malformed.
+    /// Returns an error if the file cannot be opened or the URL is malformed.
     ///
     /// ```
     /// let path = std::env::temp_dir().join("apricotroute-doc-spans.jsonl");
@@ -83,11 +84,12 @@
             .build();
         let mut builder = sdk::SdkTracerProvider::builder()
             .with_resource(resource)
-            .with_id_generator(Preset::default());
+            .with_id_generator(PresetIds::default());
         if let Some(path) = file {
             let open = fs::OpenOptions::new().create(true).append(true).open(path);
-            let file = open.map_err(|e| error::Error::new("open spans", path.display(), e))?;
-            let lines = Lines { file: sync::Mutex::new(file), instance: instance.to_owned() };
+            let file = open.map_err(|e| error::Error::new("open span file", path.display(), e))?;
+            let lines =
+                JsonExporter { file: sync::Mutex::new(file), instance: instance.to_owned() };
             builder = builder.with_batch_exporter(lines);
         }
         if let Some(url) = collector {
@@ -95,13 +97,13 @@
                 .with_tonic()
                 .with_endpoint(url)
                 .build()
-                .map_err(|e| error::Error::new("reach collector", url, e))?;
+                .map_err(|e| error::Error::new("set up exporter for collector", url, e))?;
             builder = builder.with_batch_exporter(exporter);
         }
         Ok(Self { provider: Some(builder.build()) })
     }
 
-    /// Records a span that ends now.
+    /// Records a span that ends now, if its trace is sampled.
     pub fn record(&self, span: Span) {
         let Some(provider) = self.provider.as_ref().filter(|_| span.context.is_sampled()) else {
             return;
@@ -128,12 +130,12 @@
             .with_kind(kind)
             .with_start_time(span.start)
             .with_attributes(notes.collect::<Vec<_>>());
-        NEXT.set(Some(span.context));
+        CURRENT.set(Some(span.context));
         drop(tracer.build_with_context(builder, &parent));
-        NEXT.set(None);
+        CURRENT.set(None);
     }
 
-    /// Writes out what is buffered.
+    /// Exports all buffered spans.
     pub fn flush(&self) {
         if let Some(provider) = &self.provider {
             drop(provider.force_flush());
@@ -142,36 +144,37 @@
 }
 
 thread_local! {
-    /// The context that the span being built has travelled under.
-    static NEXT: cell::Cell<Option<trace::Context>> = const { cell::Cell::new(None) };
+    /// Context of the span being built, which was already sent along with the call.
+    static CURRENT: cell::Cell<Option<trace::Context>> = const { cell::Cell::new(None) };
 }
 
-/// Gives a span the ids that were chosen before it was built, so that they could travel with
-/// the call.
+/// Assigns a span the ids that were chosen before it was built, so that they could be sent along
+/// with the call.
 #[derive(Debug, Default)]
-struct Preset {
+struct PresetIds {
     random: sdk::RandomIdGenerator,
 }
 
-impl sdk::IdGenerator for Preset {
+impl sdk::IdGenerator for PresetIds {
     fn new_trace_id(&self) -> TraceId {
-        let preset = NEXT.get().map(|next| TraceId::from_bytes(next.trace().to_be_bytes()));
+        let preset = CURRENT.get().map(|next| TraceId::from_bytes(next.trace().to_be_bytes()));
         preset.unwrap_or_else(|| self.random.new_trace_id())
     }
 
     fn new_span_id(&self) -> SpanId {
-        let preset = NEXT.get().map(|next| SpanId::from_bytes(next.span().to_be_bytes()));
+        let preset = CURRENT.get().map(|next| SpanId::from_bytes(next.span().to_be_bytes()));
         preset.unwrap_or_else(|| self.random.new_span_id())
     }
 }
 
+/// Writes spans to a file as JSON lines.
 #[derive(Debug)]
-struct Lines {
+struct JsonExporter {
     file: sync::Mutex<fs::File>,
     instance: String,
 }
 
-impl Lines {
+impl JsonExporter {
     fn line(&self, span: &sdk::SpanData) -> String {
         let note = |note: &KeyValue| (note.key.to_string(), note.value.to_string().into());
         let notes: serde_json::Map<String, serde_json::Value> =
@@ -195,13 +198,13 @@
     }
 }
 
-impl sdk::SpanExporter for Lines {
+impl sdk::SpanExporter for JsonExporter {
     async fn export(&self, batch: Vec<sdk::SpanData>) -> OTelSdkResult {
         let text: String = batch.iter().map(|span| self.line(span)).collect();
-        let written = match self.file.lock() {
+        let result = match self.file.lock() {
             Ok(mut file) => file.write_all(text.as_bytes()),
             Err(_) => Ok(()),
         };
-        written.map_err(|e| OTelSdkError::InternalFailure(e.to_string()))
+        result.map_err(|e| OTelSdkError::InternalFailure(e.to_string()))
     }
 }
--- a/crates/link/src/task.rs
+++ b/crates/link/src/task.rs
@@ -1,4 +1,4 @@
-//! Calls to upstreams: starting a task, and telling that one is no longer wanted.
+//! Blocking calls to upstreams that start and stop tasks.
 
 use std::{io, time};
 
@@ -7,50 +7,50 @@
 
 use crate::{gate, trace};
 
-/// Largest answer of one task, bytes.
+/// Maximum size of the answer of one task in bytes.
 pub const MAX_ANSWER: u64 = 16 << 20;
-/// Time to connect to an upstream.
-const CONNECT: time::Duration = time::Duration::from_secs(1);
-/// A call is broken off this long after its deadline; whoever decides about it has given up then.
+/// Timeout for connecting to an upstream.
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+/// A call is aborted this long after its deadline. The caller has given up on the task by then.
 const GRACE: time::Duration = time::Duration::from_millis(200);
-/// Time to tell an upstream that a task is not wanted.
-const STOP_TIME: time::Duration = time::Duration::from_secs(2);
+/// Timeout of the call that stops a task.
+const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// One task on its way to an upstream.
+/// The request to start one task on an upstream.
 #[derive(Clone, Debug)]
 pub struct Task {
     /// Address of the upstream.
     pub address: String,
-    /// `JOB/INDEX`.
+    /// Id of the task, `JOB/INDEX`.
     pub id: String,
     /// Payload.
     pub body: Bytes,
     /// Content type of the payload.
     pub content: String,
-    /// Time left.
+    /// Time left until the deadline.
     pub left: time::Duration,
-    /// End of the lease under which it may be started; nothing if it needs none.
+    /// End of the lease under which the task may be started, or `None` if it needs no lease.
     pub lease: Option<time::Instant>,
-    /// Span of the call.
+    /// Trace context of the call.
     pub span: trace::Context,
 }
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer and its content type.
+    /// The upstream sent a whole answer; its body and content type.
     Answer(Bytes, String),
-    /// The upstream says that it did not start the task.
+    /// The upstream reported that it did not start the task.
     NotRun,
-    /// The lease was over before anything was written.
+    /// The lease expired before any byte was written.
     Unsent,
-    /// The upstream was never reached: nothing was written.
+    /// The connection to the upstream failed; no byte was written.
     Unreached(String),
-    /// The task ran and failed, or may have run.
+    /// The task ran and failed, or may have run; the error.
     Failed(String),
 }
 
-/// Connections to upstreams.
+/// An HTTP client for upstreams with a pool of connections.
 #[derive(Clone, Debug)]
 pub struct Caller {
     agent: ureq::Agent,
@@ -63,24 +63,24 @@
 }
 
 impl Caller {
-    /// No connections yet.
+    /// Creates a client without open connections.
     pub fn new() -> Self {
-        const PER_HOST: usize = 64;
-        const IN_ALL: usize = 1_024;
+        const MAX_PER_HOST: usize = 64;
+        const MAX_TOTAL: usize = 1_024;
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
             .no_delay(true)
             .proxy(None)
-            .timeout_connect(Some(CONNECT))
-            .max_idle_connections_per_host(PER_HOST)
-            .max_idle_connections(IN_ALL)
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .max_idle_connections_per_host(MAX_PER_HOST)
+            .max_idle_connections(MAX_TOTAL)
             .build();
-        let connector = ().chain(TcpConnector::default()).chain(gate::Gate);
+        let connector = ().chain(TcpConnector::default()).chain(gate::LeaseConnector);
         Self { agent: ureq::Agent::with_parts(config, connector, gate::Resolver::default()) }
     }
 
-    /// Sends a task and waits for its answer.
+    /// Starts a task and waits for its answer.
     pub fn start(&self, task: &Task) -> End {
         let request = self
             .agent
@@ -92,45 +92,45 @@
             .config()
             .timeout_global(Some(task.left + GRACE))
             .build();
-        let (sent, passed) = gate::under(task.lease, || request.send(task.body.as_ref()));
-        match sent {
-            Err(_) if passed == gate::Passed::Nothing => End::Unsent,
-            Ok(response) => read(response),
+        let (result, written) = gate::with_lease(task.lease, || request.send(task.body.as_ref()));
+        match result {
+            Err(_) if written == gate::Written::Nothing => End::Unsent,
+            Ok(response) => read_response(response),
             Err(e) if is_unreached(&e) => End::Unreached(e.to_string()),
             Err(e) => End::Failed(e.to_string()),
         }
     }
 
-    /// Tells an upstream that a task is not wanted; best effort.
+    /// Asks an upstream to stop a task that is no longer needed. Errors are ignored.
     pub fn stop(&self, address: &str, id: &str) {
         let request = self
             .agent
             .delete(format!("http://{address}/v1/tasks/{id}"))
             .config()
-            .timeout_global(Some(STOP_TIME))
+            .timeout_global(Some(STOP_TIMEOUT))
             .build();
         drop(request.call());
     }
 }
 
-fn read(mut response: ureq::http::Response<ureq::Body>) -> End {
+fn read_response(mut response: ureq::http::Response<ureq::Body>) -> End {
     let status = response.status().as_u16();
     let header = |name: &str| {
         let value = response.headers().get(name).and_then(|value| value.to_str().ok());
         value.map(str::to_owned)
     };
-    let refused = header("Not-Run").is_some_and(|value| value.eq_ignore_ascii_case("true"));
+    let not_run = header("Not-Run").is_some_and(|value| value.eq_ignore_ascii_case("true"));
     let content = header("Content-Type").unwrap_or_else(|| "application/octet-stream".to_owned());
     let body = response.body_mut().with_config().limit(MAX_ANSWER).read_to_vec();
     match (status, body) {
-        (503, _) if refused => End::NotRun,
+        (503, _) if not_run => End::NotRun,
         (200, Ok(body)) => End::Answer(body.into(), content),
         (200, Err(e)) => End::Failed(format!("the answer broke off: {e}")),
         (status, _) => End::Failed(format!("status {status}")),
     }
 }
 
-/// Whether the error proves that no byte of the request was written.
+/// Returns whether the error proves that no byte of the request was written.
 fn is_unreached(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(e) => matches!(
--- a/crates/link/src/trace.rs
+++ b/crates/link/src/trace.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, str};
 
-/// A span's place in its trace.
+/// The ids of a span and its trace, and whether the trace is sampled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Context {
     trace: u128,
@@ -11,28 +11,28 @@
 }
 
 impl Context {
-    /// The root of a new trace.
+    /// Starts a new trace and returns the context of its root span.
     pub fn new() -> Self {
         Self { trace: rand::random::<u128>() | 1, span: rand::random::<u64>() | 1, sampled: true }
     }
 
-    /// A new span below this one.
+    /// Returns the context of a new child span.
     #[must_use]
     pub fn child(&self) -> Self {
         Self { span: rand::random::<u64>() | 1, ..*self }
     }
 
-    /// The trace.
+    /// Returns the trace id.
     pub fn trace(&self) -> u128 {
         self.trace
     }
 
-    /// The span.
+    /// Returns the span id.
     pub fn span(&self) -> u64 {
         self.span
     }
 
-    /// Whether the trace is recorded.
+    /// Returns whether the trace is sampled.
     pub fn is_sampled(&self) -> bool {
         self.sampled
     }
@@ -50,13 +50,13 @@
     }
 }
 
-/// The text is no `traceparent`.
+/// The error for a malformed `traceparent` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("not a traceparent")
+        f.write_str("malformed traceparent")
     }
 }
 
@@ -67,8 +67,8 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let hex = |part: &str, length: usize| {
-            let plain = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-            part.len() == length && part.bytes().all(plain)
+            let is_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
+            part.len() == length && part.bytes().all(is_hex)
         };
         let mut parts = text.trim().split('-');
         let mut next = |length| parts.next().filter(|part| hex(part, length)).ok_or(Malformed);
--- a/crates/link/tests/collector.rs
+++ b/crates/link/tests/collector.rs
@@ -1,4 +1,4 @@
-//! Spans reach an OTLP collector under the ids that they travelled with.
+//! Spans are exported to an OTLP collector with the ids that were sent along with the calls.
 
 use std::{net, sync, time};
 
@@ -9,10 +9,10 @@
 };
 use tokio_stream::wrappers;
 
-/// A stand-in collector that keeps what it is sent.
+/// A fake collector that records the requests it receives.
 #[derive(Clone, Default)]
 struct Collector {
-    seen: sync::Arc<sync::Mutex<Vec<ExportTraceServiceRequest>>>,
+    requests: sync::Arc<sync::Mutex<Vec<ExportTraceServiceRequest>>>,
 }
 
 #[tonic::async_trait]
@@ -21,7 +21,7 @@
         &self,
         request: tonic::Request<ExportTraceServiceRequest>,
     ) -> Result<tonic::Response<ExportTraceServiceResponse>, tonic::Status> {
-        self.seen.lock().unwrap().push(request.into_inner());
+        self.requests.lock().unwrap().push(request.into_inner());
         Ok(tonic::Response::new(ExportTraceServiceResponse::default()))
     }
 }
@@ -38,7 +38,7 @@
     let server = tonic::transport::Server::builder().add_service(service);
     runtime.spawn(server.serve_with_incoming(incoming));
 
-    let _inside = runtime.enter();
+    let _guard = runtime.enter();
     let spans = span::Spans::open(None, Some(&url), "west-1").unwrap();
     let parent = Context::new();
     let context = parent.child();
@@ -48,8 +48,8 @@
     spans.record(span::Span { context, parent: Some(parent), name: "task", side, start, notes });
     spans.flush();
 
-    let seen = collector.seen.lock().unwrap();
-    let span = &seen[0].resource_spans[0].scope_spans[0].spans[0];
+    let requests = collector.requests.lock().unwrap();
+    let span = &requests[0].resource_spans[0].scope_spans[0].spans[0];
     assert_eq!(span.trace_id, context.trace().to_be_bytes());
     assert_eq!(span.span_id, context.span().to_be_bytes());
     assert_eq!(span.parent_span_id, parent.span().to_be_bytes());
--- a/crates/link/tests/lease.rs
+++ b/crates/link/tests/lease.rs
@@ -1,4 +1,4 @@
-//! A task's request is not written to its end once the lease is over under which it may start.
+//! The client stops writing the request to start a task once the lease of the task has expired.
 
 use std::{
     io::{Read as _, Write as _},
@@ -7,19 +7,20 @@
 
 use link::{task, trace};
 
-/// More than the buffers of both sides of a connection take, bytes.
+/// Size of a request body in bytes, which exceeds the buffers on both sides of a connection.
 const BODY: usize = 32 << 20;
-/// How long the upstream reads nothing, milliseconds.
-const DEAF: u64 = 400;
+/// Time in milliseconds for which the upstream reads nothing.
+const READ_DELAY: u64 = 400;
 
-/// An upstream that reads nothing for a while; gives what arrived in the end, bytes.
-fn upstream(deaf: u64) -> (net::SocketAddr, thread::JoinHandle<usize>) {
+/// Starts an upstream that reads nothing for `delay` milliseconds. Its thread returns the number of
+/// bytes received.
+fn upstream(delay: u64) -> (net::SocketAddr, thread::JoinHandle<usize>) {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let serve = move || {
         let (mut stream, _) = listener.accept().unwrap();
         stream.set_read_timeout(Some(time::Duration::from_secs(1))).unwrap();
-        thread::sleep(time::Duration::from_millis(deaf));
+        thread::sleep(time::Duration::from_millis(delay));
         let (mut count, mut buffer) = (0, vec![0; 1 << 20]);
         while let Ok(read @ 1..) = stream.read(&mut buffer) {
             count += read;
@@ -48,11 +49,14 @@
 
 #[test]
 fn over_midway() {
-    let (address, upstream) = upstream(DEAF);
-    let end = task::Caller::new().start(&task(address, Some(DEAF / 2)));
-    assert!(matches!(end, task::End::Failed(_)), "it may have arrived: {end:?}");
+    let (address, upstream) = upstream(READ_DELAY);
+    let end = task::Caller::new().start(&task(address, Some(READ_DELAY / 2)));
+    assert!(
+        matches!(end, task::End::Failed(_)),
+        "the request may have reached the upstream: {end:?}"
+    );
     let count = upstream.join().unwrap();
-    assert!(count < BODY, "{count} bytes of a request whose lease was over");
+    assert!(count < BODY, "received {count} bytes of a request whose lease had expired");
 }
 
 #[test]
@@ -66,7 +70,7 @@
 #[test]
 fn in_time() {
     for lease in [None, Some(5_000)] {
-        let (address, upstream) = upstream(DEAF);
+        let (address, upstream) = upstream(READ_DELAY);
         let end = task::Caller::new().start(&task(address, lease));
         assert!(matches!(end, task::End::Answer(..)), "{end:?}");
         assert!(upstream.join().unwrap() > BODY);
--- a/crates/link/tests/redial.rs
+++ b/crates/link/tests/redial.rs
@@ -1,8 +1,9 @@
-//! A peer that comes back is met soon.
+//! An instance reconnects quickly to a peer that comes back.
 //!
-//! After a loss of power everywhere a keeper was back 30 to 100 ms before entries. Its first attempts to
-//! connect were lost, and it met them 200 ms later, when the next ones were due: meanwhile these
-//! entries had no configuration and refused 28 requests.
+//! This guards against long pauses between connection attempts. After a power loss of all machines
+//! a keeper came back 30 to 100 ms before entries. Its first connection attempts were lost, and the
+//! next ones connected 200 ms later. Meanwhile these entries had no configuration and refused 28
+//! requests.
 
 use std::{net, sync, time};
 
@@ -10,12 +11,13 @@
 use link::peer;
 use state::name::Name;
 
-/// How long the peer is away.
-const AWAY: time::Duration = time::Duration::from_millis(110);
-/// The pause between attempts, and what a stream takes to open. It was 90 ms: attempts were 100 ms apart.
-const SOON: time::Duration = time::Duration::from_millis(50);
-/// The machine may be busy; one of these shows when the attempts are made.
-const TRIES: usize = 5;
+/// Time for which the peer is unreachable.
+const DOWNTIME: time::Duration = time::Duration::from_millis(110);
+/// Maximum time to connect: the pause between attempts and the time to open a stream. It took 90 ms
+/// when attempts were 100 ms apart.
+const MAX_DELAY: time::Duration = time::Duration::from_millis(50);
+/// Number of measurements. The fastest one counts, because the machine may be busy.
+const ATTEMPTS: usize = 5;
 
 struct Inbox(crossbeam_channel::Sender<()>);
 
@@ -32,27 +34,27 @@
 #[test]
 fn back_soon() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
-    let took = (0..TRIES).map(|_| met(&runtime)).min().unwrap();
-    assert!(took < SOON, "{took:?}");
+    let fastest = (0..ATTEMPTS).map(|_| connect_time(&runtime)).min().unwrap();
+    assert!(fastest < MAX_DELAY, "{fastest:?}");
 }
 
-/// Time from the peer's start until a message of the other one reaches it.
-fn met(runtime: &tokio::runtime::Runtime) -> time::Duration {
+/// Returns the time from the start of the peer until a message from the other instance reaches it.
+fn connect_time(runtime: &tokio::runtime::Runtime) -> time::Duration {
     let (here, there) = (Name::new("west-1"), Name::new("west-2"));
-    // An address that is free just now.
+    // The address is free at this moment.
     let free = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let outbox = peer::Outbox::new().with_peer(runtime, &here, &there, free);
-    std::thread::sleep(AWAY);
+    std::thread::sleep(DOWNTIME);
     let (sender, receiver) = crossbeam_channel::unbounded();
-    let began = time::Instant::now();
+    let start = time::Instant::now();
     let inbox = sync::Arc::new(Inbox(sender));
     let _server = peer::Server::open(runtime, free, &there, inbox).unwrap();
-    while began.elapsed() < time::Duration::from_secs(2) {
-        // What is sent before the stream is there is lost.
+    while start.elapsed() < time::Duration::from_secs(2) {
+        // Messages that are sent before the stream is open are lost.
         outbox.send(&there, vec![Bytes::from_static(b"x")]);
         if receiver.recv_timeout(time::Duration::from_millis(1)).is_ok() {
             break;
         }
     }
-    began.elapsed()
+    start.elapsed()
 }
--- a/crates/link/tests/trace.rs
+++ b/crates/link/tests/trace.rs
@@ -1,4 +1,4 @@
-//! W3C trace context.
+//! Parsing and formatting of the W3C trace context.
 
 use link::Context;
 use proptest::prelude::*;
@@ -34,7 +34,8 @@
         ..ProptestConfig::with_cases(512)
     })]
 
-    /// Whatever is read is written the same, but for bits that version 00 leaves free.
+    /// A parsed context is formatted as the same text, except for the version and the bits that
+    /// version 00 leaves undefined.
     #[test]
     fn any_context(at in 0..55_usize, cut in 0..6_usize, with in "[0-9a-f-]{0,6}") {
         let good = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
