--- a/crates/apricotroute/tests/addresses.rs
+++ b/crates/apricotroute/tests/addresses.rs
@@ -1,55 +1,55 @@
-//! Addresses that tests give to their instances. An instance that was killed has to find its own
-//! free when it starts again, whatever other test processes and threads do meanwhile.
+//! Addresses that tests assign to their instances. The address of a killed instance must still be
+//! free when the instance restarts, whatever other test processes and threads do in the meantime.
 
 mod harness;
 mod system;
 
 use std::{collections, net, process, sync::atomic, thread};
 
-/// Addresses that one process needs: six tests at a time with three instances each, and room.
-const STEPS: u32 = 64;
+/// Addresses that one process needs: six parallel tests with three instances each, and some spare.
+const ADDRESS_COUNT: u32 = 64;
 
 #[test]
 fn apart_from_other_processes() {
-    // Consecutive processes: what a machine that runs tests beside each other hands out.
-    const PROCESSES: std::ops::Range<u32> = 30_000..35_000;
-    let mut seen = collections::HashMap::new();
-    for process in PROCESSES {
-        for step in 0..STEPS {
-            let address = harness::address_of(process, step);
+    // A machine that runs tests in parallel assigns consecutive process ids.
+    const PIDS: std::ops::Range<u32> = 30_000..35_000;
+    let mut owners = collections::HashMap::new();
+    for pid in PIDS {
+        for offset in 0..ADDRESS_COUNT {
+            let address = harness::loopback_address(pid, offset);
             assert!(address.ip().is_loopback(), "{address}");
-            let other = seen.insert(address, process);
-            assert!(other.is_none(), "{address} is {other:?}'s and {process}'s");
+            let other = owners.insert(address, pid);
+            assert!(other.is_none(), "processes {other:?} and {pid} both get {address}");
         }
     }
 }
 
 #[test]
 fn free_while_others_fork() {
-    // A process that is being started holds copies of all open sockets until it runs its program.
+    // A forked process holds copies of all open sockets until it executes its program.
     const ADDRESSES: usize = 10_000;
-    const FORKERS: usize = 2;
-    let ended = atomic::AtomicBool::new(false);
-    let fork = || {
-        while !ended.load(atomic::Ordering::Relaxed) {
+    const FORK_THREADS: usize = 2;
+    let done = atomic::AtomicBool::new(false);
+    let fork_repeatedly = || {
+        while !done.load(atomic::Ordering::Relaxed) {
             assert!(process::Command::new("true").status().unwrap().success());
         }
     };
     let busy: Vec<_> = thread::scope(|scope| {
-        for _ in 0..FORKERS {
-            scope.spawn(fork);
+        for _ in 0..FORK_THREADS {
+            scope.spawn(fork_repeatedly);
         }
         let addresses = (0..ADDRESSES).map(|_| harness::free_address());
         let busy = addresses.filter(|address| net::TcpListener::bind(address).is_err()).collect();
-        ended.store(true, atomic::Ordering::Relaxed);
+        done.store(true, atomic::Ordering::Relaxed);
         busy
     });
-    assert!(busy.is_empty(), "{} of {ADDRESSES} in use: {busy:?}", busy.len());
+    assert!(busy.is_empty(), "{} of {ADDRESSES} addresses are in use: {busy:?}", busy.len());
 }
 
 #[test]
 fn systems_apart() {
-    // As two runs of one test beside each other: the same plan, and so the same net.
+    // Two parallel runs of one test have the same plan and therefore the same `net`.
     let plan = || system::Plan { net: 120, zones: vec![(1, 1)], relays: false };
     let (one, other) = (system::System::new(plan()), system::System::new(plan()));
     for at in 0..2 {
--- a/crates/apricotroute/tests/bad_input.rs
+++ b/crates/apricotroute/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Input that is malformed, too large, too slow or about nothing: a clear error, and nobody else
-//! is held up.
+//! Input that is malformed, too large, too slow or refers to unknown resources: the sender gets a
+//! clear error, and no other client is delayed.
 
 mod harness;
 
@@ -19,11 +19,12 @@
     (cluster, upstream)
 }
 
-/// Sends bytes as they are and reads until the other side closes or answers.
-fn raw(to: net::SocketAddr, bytes: &[u8]) -> String {
+/// Sends raw bytes and returns the first part of the response, or nothing if the peer closes the
+/// connection or stays silent for 15 s.
+fn send_raw(to: net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = net::TcpStream::connect(to).unwrap();
     stream.set_read_timeout(Some(time::Duration::from_secs(15))).unwrap();
-    // The other side may refuse before it has read everything.
+    // The peer may reject the request before it has read all bytes.
     drop(stream.write_all(bytes));
     let mut answer = vec![0; 4096];
     let count = stream.read(&mut answer).unwrap_or(0);
@@ -35,7 +36,7 @@
     let (cluster, upstream) = cluster();
     let to = cluster.nodes[0].client;
     let id = || mint("west");
-    let good = |change: &dyn Fn(&mut Value)| {
+    let job_with = |change: &dyn Fn(&mut Value)| {
         let mut spec = job(&mint("west"), 1, 1_000);
         change(&mut spec);
         spec
@@ -43,30 +44,30 @@
     let cases: Vec<(u16, Value)> = vec![
         (400, json!([])),
         (400, json!({"job": id()})),
-        (400, good(&|spec| spec["job"] = json!("west-7"))),
-        (400, good(&|spec| spec["job"] = json!("0190b6c4-7e2a-7c3e-8a54-000000000001"))),
-        (400, good(&|spec| spec["job"] = json!(format!("west-{}", uuid::Uuid::nil())))),
-        (400, good(&|spec| spec["deadline_ms"] = json!(-1))),
-        (400, good(&|spec| spec["deadline_ms"] = json!(0))),
-        (400, good(&|spec| spec["deadline_ms"] = json!(1.5))),
-        (400, good(&|spec| spec["deadline_ms"] = json!(99_999_999_999_999_999_999_f64))),
-        (400, good(&|spec| spec["tasks"] = json!([]))),
-        (400, good(&|spec| spec["tasks"] = json!([{"load": 1}]))),
-        (400, good(&|spec| spec["extra"] = json!(1))),
-        (400, good(&|spec| spec["idempotent"] = json!("yes"))),
-        (400, good(&|spec| spec["team"] = json!("a b"))),
-        (400, good(&|spec| spec["service"] = json!("a//b"))),
-        (400, good(&|spec| spec["needs"] = json!({"cores": -4}))),
-        (400, good(&|spec| spec["needs"] = json!({"wheels": 4}))),
-        (404, good(&|spec| spec["service"] = json!("nowhere"))),
+        (400, job_with(&|spec| spec["job"] = json!("west-7"))),
+        (400, job_with(&|spec| spec["job"] = json!("0190b6c4-7e2a-7c3e-8a54-000000000001"))),
+        (400, job_with(&|spec| spec["job"] = json!(format!("west-{}", uuid::Uuid::nil())))),
+        (400, job_with(&|spec| spec["deadline_ms"] = json!(-1))),
+        (400, job_with(&|spec| spec["deadline_ms"] = json!(0))),
+        (400, job_with(&|spec| spec["deadline_ms"] = json!(1.5))),
+        (400, job_with(&|spec| spec["deadline_ms"] = json!(99_999_999_999_999_999_999_f64))),
+        (400, job_with(&|spec| spec["tasks"] = json!([]))),
+        (400, job_with(&|spec| spec["tasks"] = json!([{"load": 1}]))),
+        (400, job_with(&|spec| spec["extra"] = json!(1))),
+        (400, job_with(&|spec| spec["idempotent"] = json!("yes"))),
+        (400, job_with(&|spec| spec["team"] = json!("a b"))),
+        (400, job_with(&|spec| spec["service"] = json!("a//b"))),
+        (400, job_with(&|spec| spec["needs"] = json!({"cores": -4}))),
+        (400, job_with(&|spec| spec["needs"] = json!({"wheels": 4}))),
+        (404, job_with(&|spec| spec["service"] = json!("nowhere"))),
     ];
     for (expected, spec) in cases {
         let (status, body) = post(to, "/v1/jobs", &spec);
         assert_eq!((status, &body["state"]), (expected, &json!("not_run")), "{spec} gave {body}");
         assert!(body["error"].is_string() && body["step"].is_string() && body["peer"] == "west-1");
     }
-    let many: Vec<_> = (0..1_001).map(|number| json!({"payload": number})).collect();
-    let (status, body) = post(to, "/v1/jobs", &good(&|spec| spec["tasks"] = json!(many)));
+    let too_many: Vec<_> = (0..1_001).map(|number| json!({"payload": number})).collect();
+    let (status, body) = post(to, "/v1/jobs", &job_with(&|spec| spec["tasks"] = json!(too_many)));
     assert_eq!((status, &body["state"]), (413, &json!("not_run")));
     assert!(upstream.starts().is_empty());
 }
@@ -91,29 +92,29 @@
 fn bad_bytes() {
     let (cluster, _upstream) = cluster();
     let to = cluster.nodes[0].client;
-    let head = |more: &str| format!("POST /v1/jobs HTTP/1.1\r\nHost: x\r\n{more}\r\n");
+    let head = |fields: &str| format!("POST /v1/jobs HTTP/1.1\r\nHost: x\r\n{fields}\r\n");
     let answer =
-        raw(to, head("Content-Length: 9\r\nContent-Type: application/json\r\n").as_bytes());
+        send_raw(to, head("Content-Length: 9\r\nContent-Type: application/json\r\n").as_bytes());
     assert!(answer.is_empty() || answer.contains("408"), "{answer}");
     for body in ["{\"job\": ", "nonsense", "\u{0}\u{1}", "{}{}", ""] {
         let request = head(&format!("Content-Length: {}\r\n", body.len())) + body;
-        let answer = raw(to, request.as_bytes());
+        let answer = send_raw(to, request.as_bytes());
         assert!(answer.starts_with("HTTP/1.1 400"), "{body:?} gave {answer}");
     }
     let answer =
-        raw(to, (head("Content-Type: text/xml\r\nContent-Length: 2\r\n") + "{}").as_bytes());
+        send_raw(to, (head("Content-Type: text/xml\r\nContent-Length: 2\r\n") + "{}").as_bytes());
     assert!(answer.starts_with("HTTP/1.1 415"), "{answer}");
-    let answer = raw(to, b"\x16\x03\x01\x02\x00garbage\r\n\r\n");
+    let answer = send_raw(to, b"\x16\x03\x01\x02\x00garbage\r\n\r\n");
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 400"), "{answer}");
     let junk = "X-Junk: junk\r\n".repeat(100_000);
-    let answer = raw(to, head(&junk).as_bytes());
+    let answer = send_raw(to, head(&junk).as_bytes());
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 431"), "{answer}");
     let large = "x".repeat(10 << 20);
     let answer =
-        raw(to, (head(&format!("Content-Length: {}\r\n", large.len())) + &large).as_bytes());
+        send_raw(to, (head(&format!("Content-Length: {}\r\n", large.len())) + &large).as_bytes());
     assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
     assert!(answer.contains("not_run"), "{answer}");
-    // Nothing of it has hurt.
+    // The instance still serves jobs after these requests.
     assert_eq!(cluster.submit(0, &job(&mint("west"), 3, 2_000)).0, 200);
 }
 
@@ -122,12 +123,12 @@
     const CLIENTS: usize = 200;
     let (cluster, _upstream) = cluster();
     let to = cluster.nodes[0].client;
-    let half =
+    let partial =
         b"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 500000\r\n\r\n{\"job\": \"west-";
     let mut open = Vec::new();
     for _ in 0..CLIENTS {
         let mut stream = net::TcpStream::connect(to).unwrap();
-        stream.write_all(half).unwrap();
+        stream.write_all(partial).unwrap();
         open.push(stream);
     }
     let start = time::Instant::now();
@@ -203,13 +204,13 @@
     assert_eq!(put(to, "/v1/settings/a//b", &json!({"values": {}})).0, 400);
     assert_eq!(put(to, "/v1/settings/a", &json!({"values": {}, "change": "7"})).0, 400);
     assert_eq!(put(to, "/v1/settings/a", &json!({"values": {}, "base": -7})).0, 400);
-    assert_eq!(get(to, "/v1/settings/ireland").unwrap().0, 404, "nothing was set");
-    // Inheritance, and where each value comes from.
+    assert_eq!(get(to, "/v1/settings/ireland").unwrap().0, 404, "a rejected change sets no value");
+    // A path inherits values, and `from` names the path that sets each value.
     let (status, body) = put(to, "/v1/settings/", &json!({"values": {"max_queue": 5}}));
     assert_eq!(status, 200, "{body}");
     let body = json!({"values": {"team_rate": 9}, "base": body["version"]});
     assert_eq!(put(to, "/v1/settings/ireland", &body).0, 200);
-    assert_eq!(put(to, "/v1/settings/ireland", &body).0, 409, "another version by now");
+    assert_eq!(put(to, "/v1/settings/ireland", &body).0, 409, "the base version is outdated");
     assert_eq!(put(to, "/v1/settings/ireland/quotes", &json!({"values": {}})).0, 200);
     let (_, body) = get(to, "/v1/settings/ireland/quotes").unwrap();
     assert_eq!(
@@ -235,7 +236,9 @@
     let peer: net::SocketAddr = boot["peer_address"].as_str().unwrap().parse().unwrap();
     let threads: Vec<_> = (0..8)
         .map(|_| {
-            thread::spawn(move || raw(peer, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\njunkjunkjunkjunk"))
+            thread::spawn(move || {
+                send_raw(peer, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\njunkjunkjunkjunk")
+            })
         })
         .collect();
     for thread in threads {
--- a/crates/apricotroute/tests/command_line.rs
+++ b/crates/apricotroute/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command as a user types it.
+//! Runs the command line as a user does.
 
 mod harness;
 
@@ -133,28 +133,29 @@
     assert_eq!(log["changes"][1]["outcome"], "conflict", "{out}");
 }
 
-/// A log that stands beside the tests.
-fn log(name: &str) -> String {
+/// Returns the path of a log file in `tests/logs`.
+fn log_path(name: &str) -> String {
     format!("{}/tests/logs/{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
 #[test]
 fn explained() {
-    // By the job's id and by the client's own name of the request, whatever the order of the files.
-    let (entry, keepers) = (log("entry.log"), log("keepers.log"));
+    // The job id and the client's `Request-Id` find the same lines, in any order of the files.
+    let (entry, keepers) = (log_path("entry.log"), log_path("keepers.log"));
     let (code, story, _) = run(&["explain", "ac38592eefa64e04", &entry, &keepers]);
     assert_eq!(code, Some(0));
     insta::assert_snapshot!(story);
     assert_eq!(run(&["explain", "c12c5358b82cab6d", &keepers, &entry]).1, story);
-    // Nothing tells of another one.
+    // No log line refers to another request.
     let (code, out, _) = run(&["explain", "ac38", &entry, &keepers]);
     assert_eq!((code, out.as_str()), (Some(1), "no line tells of it\n"));
 }
 
-/// Story: `losses FILE... | head` ended with a panic and a backtrace once `head` had its lines.
+/// Guards against a panic with a backtrace when the reader of the output closes the pipe, as in
+/// `losses FILE... | head` once `head` has read its lines.
 #[test]
 fn reader_gone() {
-    for arguments in [vec!["--help"], vec!["losses", &log("losses.log")]] {
+    for arguments in [vec!["--help"], vec!["losses", &log_path("losses.log")]] {
         let mut command = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"));
         let (reader, writer) = std::io::pipe().unwrap();
         drop(reader);
@@ -167,12 +168,12 @@
 
 #[test]
 fn losses_by_cause() {
-    let (code, table, _) = run(&["losses", &log("losses.log")]);
+    let (code, table, _) = run(&["losses", &log_path("losses.log")]);
     assert_eq!(code, Some(0));
     insta::assert_snapshot!(table);
     // The request whose scheduler was lost was late by 2 ms.
     let (code, table, _) =
-        run(&["losses", "--window", "60", &log("entry.log"), &log("keepers.log")]);
+        run(&["losses", "--window", "60", &log_path("entry.log"), &log_path("keepers.log")]);
     assert_eq!(code, Some(0));
     assert!(table.contains("1  late: a scheduler that had it was lost"), "{table}");
 }
--- a/crates/apricotroute/tests/harness/mod.rs
+++ b/crates/apricotroute/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! Real processes behind fault-injecting proxies, and a checker of what they did.
+//! A cluster of real processes behind fault-injecting proxies, and checks of its results.
 
-#![allow(dead_code, reason = "each test file uses its own part of the harness")]
+#![allow(dead_code, reason = "each test file uses only a part of the harness")]
 
 pub mod check;
 pub mod proxy;
@@ -10,10 +10,10 @@
 
 use serde_json::{Value, json};
 
-/// The service that tests run.
+/// Name of the service that the tests use.
 pub const SERVICE: &str = "polish-board";
 
-/// One instance as a process.
+/// An instance that runs as a process.
 #[derive(Debug)]
 pub struct Node {
     pub name: String,
@@ -25,7 +25,7 @@
     pub child: Option<process::Child>,
 }
 
-/// Instances, the links between them, and upstreams.
+/// Instances and the proxied links between them.
 #[derive(Debug)]
 pub struct Cluster {
     pub dir: tempfile::TempDir,
@@ -33,7 +33,7 @@
     pub links: Vec<Link>,
 }
 
-/// The stream from one instance to another.
+/// The proxied connection from one instance to another.
 #[derive(Debug)]
 pub struct Link {
     pub from: usize,
@@ -41,7 +41,7 @@
     pub proxy: proxy::Proxy,
 }
 
-/// What a cluster is made of.
+/// Configuration of a test cluster.
 #[derive(Clone, Debug)]
 pub struct Plan {
     zones: Vec<(String, usize)>,
@@ -50,24 +50,24 @@
 }
 
 impl Plan {
-    /// One zone of so many instances, all with disks.
+    /// Returns a plan of one zone with `count` instances, all with disks.
     pub fn new(count: usize) -> Self {
         Self { zones: vec![("west".to_owned(), count)], disks: count, extra: json!({}) }
     }
 
-    /// Several zones; the first instance of each has a disk.
+    /// Returns a plan of several zones in which the first instance of each zone has a disk.
     pub fn with_zones(zones: &[(&str, usize)]) -> Self {
         let zones = zones.iter().map(|(zone, count)| ((*zone).to_owned(), *count)).collect();
         Self { zones, disks: 1, extra: json!({}) }
     }
 
-    /// So many instances of each zone have disks.
+    /// Sets how many instances of each zone have disks.
     pub fn with_disks(mut self, disks: usize) -> Self {
         self.disks = disks;
         self
     }
 
-    /// Further keys of every bootstrap file.
+    /// Adds keys to every bootstrap file.
     pub fn with_extra(mut self, extra: Value) -> Self {
         self.extra = extra;
         self
@@ -75,15 +75,15 @@
 
     /// Writes the bootstrap files and starts all instances.
     pub fn start(self) -> Cluster {
-        let mut cluster = self.lay_out();
-        for at in 0..cluster.nodes.len() {
-            cluster.start(at);
+        let mut cluster = self.build();
+        for index in 0..cluster.nodes.len() {
+            cluster.start(index);
         }
         cluster.wait_ready();
         cluster
     }
 
-    fn lay_out(self) -> Cluster {
+    fn build(self) -> Cluster {
         let dir = tempfile::tempdir().unwrap();
         let mut nodes = Vec::new();
         let mut peers = Vec::new();
@@ -111,20 +111,20 @@
             }
         }
         let cluster = Cluster { dir, nodes, links };
-        for (at, address) in peers.iter().enumerate() {
-            cluster.write_settings(at, *address, &self.extra);
+        for (index, address) in peers.iter().enumerate() {
+            cluster.write_settings(index, *address, &self.extra);
         }
         cluster
     }
 }
 
 impl Cluster {
-    fn write_settings(&self, at: usize, peer: net::SocketAddr, extra: &Value) {
-        let node = &self.nodes[at];
+    fn write_settings(&self, index: usize, peer: net::SocketAddr, extra: &Value) {
+        let node = &self.nodes[index];
         let peers: Vec<_> = self
             .links
             .iter()
-            .filter(|link| link.from == at)
+            .filter(|link| link.from == index)
             .map(|link| {
                 let other = &self.nodes[link.to];
                 json!({
@@ -154,16 +154,16 @@
     }
 
     /// Starts an instance.
-    pub fn start(&mut self, at: usize) {
-        let log = self.dir.path().join(format!("{}.log", self.nodes[at].name));
+    pub fn start(&mut self, index: usize) {
+        let log = self.dir.path().join(format!("{}.log", self.nodes[index].name));
         let log = fs::OpenOptions::new().create(true).append(true).open(log).unwrap();
         let child = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
             .args(["serve", "--settings"])
-            .arg(&self.nodes[at].settings)
+            .arg(&self.nodes[index].settings)
             .stderr(log)
             .spawn()
             .unwrap();
-        self.nodes[at].child = Some(child);
+        self.nodes[index].child = Some(child);
     }
 
     /// Waits until every running instance is ready.
@@ -174,43 +174,43 @@
         }
     }
 
-    /// What every instance says of itself, and the last lines of its log: without it a failure
-    /// that is seen once cannot be traced.
+    /// Returns the status of every instance and the last lines of its log; without them a failure
+    /// that occurs only once cannot be traced.
     fn report(&self) -> String {
         const LINES: usize = 40;
-        let one = |node: &Node| {
+        let node_report = |node: &Node| {
             let status = get(node.operator, "/v1/status").map(|(_, body)| body);
             let log = fs::read_to_string(self.dir.path().join(format!("{}.log", node.name)));
             let log = log.unwrap_or_else(|e| e.to_string());
             let lines: Vec<_> = log.lines().collect();
-            let last = lines[lines.len().saturating_sub(LINES)..].join("\n");
-            format!("\n== {}: {}\n{last}", node.name, status.unwrap_or_default())
+            let tail = lines[lines.len().saturating_sub(LINES)..].join("\n");
+            format!("\n== {}: {}\n{tail}", node.name, status.unwrap_or_default())
         };
-        self.nodes.iter().map(one).collect()
+        self.nodes.iter().map(node_report).collect()
     }
 
-    /// Ends an instance at once.
-    pub fn kill(&mut self, at: usize) {
-        if let Some(mut child) = self.nodes[at].child.take() {
+    /// Kills an instance at once, without a graceful shutdown.
+    pub fn kill(&mut self, index: usize) {
+        if let Some(mut child) = self.nodes[index].child.take() {
             child.kill().unwrap();
             child.wait().unwrap();
         }
     }
 
     /// Sends a signal to an instance.
-    pub fn signal(&self, at: usize, signal: &str) {
-        let pid = self.nodes[at].child.as_ref().unwrap().id().to_string();
+    pub fn signal(&self, index: usize, signal: &str) {
+        let pid = self.nodes[index].child.as_ref().unwrap().id().to_string();
         let sent = process::Command::new("kill").args([signal, &pid]).status().unwrap();
         assert!(sent.success(), "kill {signal} {pid}");
     }
 
-    /// Ends an instance gracefully and gives its exit code.
-    pub fn terminate(&mut self, at: usize) -> Option<i32> {
-        self.signal(at, "-TERM");
-        self.nodes[at].child.take().unwrap().wait().unwrap().code()
+    /// Shuts an instance down gracefully and returns its exit code.
+    pub fn terminate(&mut self, index: usize) -> Option<i32> {
+        self.signal(index, "-TERM");
+        self.nodes[index].child.take().unwrap().wait().unwrap().code()
     }
 
-    /// Cuts or heals the streams from one set of instances to another.
+    /// Cuts or restores the links from one set of instances to another.
     pub fn cut(&self, from: &[usize], to: &[usize], cut: bool) {
         for link in &self.links {
             if from.contains(&link.from) && to.contains(&link.to) {
@@ -219,19 +219,20 @@
         }
     }
 
-    /// Cuts or heals everything between one set of instances and all others.
+    /// Cuts or restores all links between one set of instances and all others, in both directions.
     pub fn isolate(&self, inside: &[usize], cut: bool) {
-        let outside: Vec<_> = (0..self.nodes.len()).filter(|at| !inside.contains(at)).collect();
+        let outside: Vec<_> =
+            (0..self.nodes.len()).filter(|index| !inside.contains(index)).collect();
         self.cut(inside, &outside, cut);
         self.cut(&outside, inside, cut);
     }
 
-    /// Changes settings at an instance.
-    pub fn set(&self, at: usize, path: &str, body: &Value) -> (u16, Value) {
-        put(self.nodes[at].operator, &format!("/v1/settings/{path}"), body)
+    /// Sends a settings change to an instance.
+    pub fn set(&self, index: usize, path: &str, body: &Value) -> (u16, Value) {
+        put(self.nodes[index].operator, &format!("/v1/settings/{path}"), body)
     }
 
-    /// Creates the service that tests run, and waits until it is known everywhere.
+    /// Creates the service that the tests use, and waits until every running instance knows it.
     pub fn create_service(&self) {
         let (status, body) = self.set(0, SERVICE, &json!({"values": {}}));
         assert_eq!(status, 200, "{body}");
@@ -241,32 +242,36 @@
     /// Waits until every running instance has at least this version of the settings.
     pub fn wait_version(&self, version: u64) {
         for node in self.nodes.iter().filter(|node| node.child.is_some()) {
-            let known = || Self::version(node).is_some_and(|known| known >= version);
-            assert!(eventually(5_000, known), "{} has no version {version}", node.name);
+            let updated = || Self::version(node).is_some_and(|known| known >= version);
+            assert!(
+                eventually(5_000, updated),
+                "{} has not reached settings version {version}",
+                node.name
+            );
         }
     }
 
-    /// Version of the settings at an instance.
+    /// Returns the version of the settings at an instance.
     pub fn version(node: &Node) -> Option<u64> {
         get(node.operator, "/v1/settings/")?.1["version"].as_u64()
     }
 
-    /// Status of an instance.
-    pub fn status(&self, at: usize) -> Value {
-        get(self.nodes[at].operator, "/v1/status").map(|(_, body)| body).unwrap_or_default()
+    /// Returns the status of an instance.
+    pub fn status(&self, index: usize) -> Value {
+        get(self.nodes[index].operator, "/v1/status").map(|(_, body)| body).unwrap_or_default()
     }
 
-    /// Position of the leader of a group, once there is one.
+    /// Waits for a leader of a group and returns its index, or `None` after 5 s without a leader.
     pub fn leader(&self, group: &str) -> Option<usize> {
         let mut found = None;
         eventually(5_000, || {
-            found = self.leader_now(group);
+            found = self.current_leader(group);
             found.is_some()
         });
         found
     }
 
-    fn leader_now(&self, group: &str) -> Option<usize> {
+    fn current_leader(&self, group: &str) -> Option<usize> {
         let running = self.nodes.iter().filter(|node| node.child.is_some());
         let names = running.filter_map(|node| {
             let status = get(node.operator, "/v1/status")?.1;
@@ -285,38 +290,43 @@
         name: &str,
         zone: &str,
         to: &[usize],
-        more: &[&str],
+        arguments: &[&str],
     ) -> upstream::Process {
-        let to: Vec<_> = to.iter().map(|at| self.nodes[*at].client.to_string()).collect();
-        upstream::Process::start(self.dir.path(), name, zone, &to.join(","), more)
+        let to: Vec<_> = to.iter().map(|index| self.nodes[*index].client.to_string()).collect();
+        upstream::Process::start(self.dir.path(), name, zone, &to.join(","), arguments)
     }
 
-    /// Waits until every running instance of a zone knows so many open upstreams.
+    /// Waits until every running instance of a zone knows exactly `count` serving upstreams with a
+    /// valid lease.
     pub fn wait_upstreams(&self, zone: &str, count: usize) {
-        for (at, node) in self.nodes.iter().enumerate() {
+        for (index, node) in self.nodes.iter().enumerate() {
             if node.child.is_none() || node.zone != zone {
                 continue;
             }
-            let open = || {
-                let status = self.status(at);
+            let has_count = || {
+                let status = self.status(index);
                 let list = status["upstreams"].as_array().cloned().unwrap_or_default();
                 let serving = |u: &Value| u["phase"] == "serving" && u["lease_ms"] != 0;
                 list.iter().filter(|u| serving(u)).count() == count
             };
-            assert!(eventually(8_000, open), "{} knows other upstreams", node.name);
+            assert!(
+                eventually(8_000, has_count),
+                "{} does not know {count} serving upstreams",
+                node.name
+            );
         }
     }
 
-    /// Submits a job at an instance.
-    pub fn submit(&self, at: usize, job: &Value) -> (u16, Value) {
-        post(self.nodes[at].client, "/v1/jobs", job)
+    /// Submits a job to an instance.
+    pub fn submit(&self, index: usize, job: &Value) -> (u16, Value) {
+        post(self.nodes[index].client, "/v1/jobs", job)
     }
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        for at in 0..self.nodes.len() {
-            self.kill(at);
+        for index in 0..self.nodes.len() {
+            self.kill(index);
         }
         if thread::panicking() {
             for node in &self.nodes {
@@ -327,21 +337,21 @@
     }
 }
 
-/// A fresh job id for a zone.
+/// Generates a new job id for a zone.
 pub fn mint(zone: &str) -> String {
     format!("{zone}-{}", uuid::Uuid::now_v7())
 }
 
-/// A job of so many tasks, each with its number as payload.
+/// Returns a job of `tasks` tasks; the payload of each task is its index.
 pub fn job(id: &str, tasks: usize, deadline_ms: u64) -> Value {
-    let tasks: Vec<_> = (0..tasks).map(|number| json!({"payload": number})).collect();
+    let tasks: Vec<_> = (0..tasks).map(|index| json!({"payload": index})).collect();
     json!({"job": id, "service": SERVICE, "deadline_ms": deadline_ms, "tasks": tasks})
 }
 
-/// Whether `check` holds within so many milliseconds.
+/// Returns whether `check` succeeds within `ms` milliseconds.
 pub fn eventually(ms: u64, mut check: impl FnMut() -> bool) -> bool {
-    let until = time::Instant::now() + time::Duration::from_millis(ms);
-    while time::Instant::now() < until {
+    let deadline = time::Instant::now() + time::Duration::from_millis(ms);
+    while time::Instant::now() < deadline {
         if check() {
             return true;
         }
@@ -350,7 +360,7 @@
     check()
 }
 
-/// Sleeps so many milliseconds.
+/// Sleeps for `ms` milliseconds.
 pub fn pause(ms: u64) {
     thread::sleep(time::Duration::from_millis(ms));
 }
@@ -370,56 +380,61 @@
 
 type Response = Result<ureq::http::Response<ureq::Body>, ureq::Error>;
 
-fn read(response: Response) -> Option<(u16, Value)> {
+fn parse(response: Response) -> Option<(u16, Value)> {
     let mut response = response.ok()?;
     let status = response.status().as_u16();
     let body = response.body_mut().with_config().limit(64 << 20).read_to_string().ok()?;
     Some((status, serde_json::from_str(&body).unwrap_or(Value::String(body))))
 }
 
-/// `GET`; nothing if the connection failed.
+/// Sends `GET`; returns `None` if the connection failed.
 pub fn get(to: net::SocketAddr, path: &str) -> Option<(u16, Value)> {
-    read(agent().get(format!("http://{to}{path}")).call())
+    parse(agent().get(format!("http://{to}{path}")).call())
 }
 
-/// `DELETE`; nothing if the connection failed.
+/// Sends `DELETE`; returns `None` if the connection failed.
 pub fn delete(to: net::SocketAddr, path: &str) -> Option<(u16, Value)> {
-    read(agent().delete(format!("http://{to}{path}")).call())
+    parse(agent().delete(format!("http://{to}{path}")).call())
 }
 
-/// `POST` of JSON; status 0 if the connection failed.
+/// Sends JSON by `POST`; returns status 0 if the connection failed.
 pub fn post(to: net::SocketAddr, path: &str, body: &Value) -> (u16, Value) {
     let request = agent().post(format!("http://{to}{path}"));
     let response = request.header("Content-Type", "application/json").send(body.to_string());
-    read(response).unwrap_or((0, Value::Null))
+    parse(response).unwrap_or((0, Value::Null))
 }
 
-/// `PUT` of JSON; status 0 if the connection failed.
+/// Sends JSON by `PUT`; returns status 0 if the connection failed.
 pub fn put(to: net::SocketAddr, path: &str, body: &Value) -> (u16, Value) {
     let request = agent().put(format!("http://{to}{path}"));
     let response = request.header("Content-Type", "application/json").send(body.to_string());
-    read(response).unwrap_or((0, Value::Null))
+    parse(response).unwrap_or((0, Value::Null))
 }
 
-/// An address that no other process and no other caller gets. It is not tried first: the socket of
-/// a trial stays open in a process that another thread is just starting.
+/// Returns an address that no other process and no other caller gets. The function does not bind
+/// the address to test it, because a process that another thread is just starting would hold the
+/// test socket open.
 pub fn free_address() -> net::SocketAddr {
     static NEXT: sync::atomic::AtomicU32 = sync::atomic::AtomicU32::new(0);
-    address_of(process::id(), NEXT.fetch_add(1, sync::atomic::Ordering::Relaxed))
+    loopback_address(process::id(), NEXT.fetch_add(1, sync::atomic::Ordering::Relaxed))
 }
 
-/// The address of a process at a step: the loopback network has a host for every process number,
-/// beside those of [`net::Ipv4Addr::LOCALHOST`] and of the systems on the platform's calls.
-pub fn address_of(process: u32, step: u32) -> net::SocketAddr {
-    // The ports end below those that outgoing connections get.
+/// Returns the address with the given offset of a process. The loopback network has a host for
+/// every process id, apart from [`net::Ipv4Addr::LOCALHOST`] and from the hosts of the clusters in
+/// `tests/system`.
+pub fn loopback_address(pid: u32, offset: u32) -> net::SocketAddr {
+    // The range ends below the ports that the system assigns to outgoing connections.
     const PORTS: std::ops::Range<u32> = 10_000..30_000;
-    // What of a process number is above its last two bytes: Linux counts to 2^22
-    // (`PID_MAX_LIMIT`).
-    const HIGH: u8 = 1 << 6;
-    // Second byte of the first host.
-    const FIRST: u8 = 128;
-    let [_, high, middle, low] = process.to_be_bytes();
-    let port = PORTS.start + step;
-    assert!(high < HIGH && PORTS.contains(&port), "no address for {process} at {step}");
-    net::SocketAddr::from(([127, FIRST + high, middle, low], port as u16))
+    // Exclusive upper bound of a process id without its low two bytes: process ids on Linux go up
+    // to 2^22 (`PID_MAX_LIMIT`).
+    const HIGH_LIMIT: u8 = 1 << 6;
+    // Second byte of the lowest host address.
+    const FIRST_BYTE: u8 = 128;
+    let [_, high, middle, low] = pid.to_be_bytes();
+    let port = PORTS.start + offset;
+    assert!(
+        high < HIGH_LIMIT && PORTS.contains(&port),
+        "no address for process {pid} at offset {offset}"
+    );
+    net::SocketAddr::from(([127, FIRST_BYTE + high, middle, low], port as u16))
 }
--- a/crates/apricotroute/tests/harness/proxy.rs
+++ b/crates/apricotroute/tests/harness/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that can be cut silently, slowed, and healed.
+//! A TCP proxy that can stop forwarding silently, delay data, and resume.
 
 use std::{
     io::{ErrorKind, Read as _, Write as _},
@@ -7,17 +7,17 @@
     thread, time,
 };
 
-/// How often a blocked copy looks at the faults.
-const STEP: time::Duration = time::Duration::from_millis(10);
+/// Interval at which a blocked copy loop checks the injected faults.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
 #[derive(Debug, Default)]
 struct Faults {
     cut: atomic::AtomicBool,
     delay: atomic::AtomicU64,
-    ended: atomic::AtomicBool,
+    closed: atomic::AtomicBool,
 }
 
-/// Forwards connections to one address.
+/// Forwards TCP connections to one address.
 #[derive(Debug)]
 pub struct Proxy {
     address: net::SocketAddr,
@@ -25,7 +25,7 @@
 }
 
 impl Proxy {
-    /// Starts to forward to `target`.
+    /// Starts a proxy that forwards to `target`.
     pub fn start(target: net::SocketAddr) -> Self {
         let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -35,17 +35,18 @@
         Self { address, faults }
     }
 
-    /// Where it listens.
+    /// Returns the address on which the proxy listens.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// While cut, bytes stay where they are in both directions and nobody is told.
+    /// Stops or resumes forwarding. While the proxy is cut, it holds the data of both directions
+    /// and reports no error to either peer.
     pub fn cut(&self, cut: bool) {
         self.faults.cut.store(cut, atomic::Ordering::SeqCst);
     }
 
-    /// Delays every read by so many milliseconds.
+    /// Delays the data of every read by `ms` milliseconds.
     pub fn delay(&self, ms: u64) {
         self.faults.delay.store(ms, atomic::Ordering::SeqCst);
     }
@@ -53,50 +54,51 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.faults.ended.store(true, atomic::Ordering::SeqCst);
-        // Wakes the accepting thread.
+        self.faults.closed.store(true, atomic::Ordering::SeqCst);
+        // Wakes the thread that accepts connections.
         drop(net::TcpStream::connect(self.address));
     }
 }
 
 fn accept(listener: &net::TcpListener, target: net::SocketAddr, faults: &sync::Arc<Faults>) {
     for stream in listener.incoming() {
-        if faults.ended.load(atomic::Ordering::SeqCst) {
+        if faults.closed.load(atomic::Ordering::SeqCst) {
             return;
         }
-        let Ok(near) = stream else { continue };
+        let Ok(client) = stream else { continue };
         let faults = sync::Arc::clone(faults);
         thread::spawn(move || {
-            wait(&faults);
-            let Ok(far) = net::TcpStream::connect(target) else {
+            wait_while_cut(&faults);
+            let Ok(server) = net::TcpStream::connect(target) else {
                 return;
             };
-            let (near_copy, far_copy) = (near.try_clone().unwrap(), far.try_clone().unwrap());
+            let (client_copy, server_copy) =
+                (client.try_clone().unwrap(), server.try_clone().unwrap());
             let shared = sync::Arc::clone(&faults);
-            thread::spawn(move || copy(near_copy, far_copy, &shared));
-            copy(far, near, &faults);
+            thread::spawn(move || copy(client_copy, server_copy, &shared));
+            copy(server, client, &faults);
         });
     }
 }
 
-fn wait(faults: &Faults) {
-    while faults.cut.load(atomic::Ordering::SeqCst) && !faults.ended.load(atomic::Ordering::SeqCst)
+fn wait_while_cut(faults: &Faults) {
+    while faults.cut.load(atomic::Ordering::SeqCst) && !faults.closed.load(atomic::Ordering::SeqCst)
     {
-        thread::sleep(STEP);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 fn copy(mut from: net::TcpStream, mut to: net::TcpStream, faults: &Faults) {
-    from.set_read_timeout(Some(STEP)).unwrap();
+    from.set_read_timeout(Some(POLL_INTERVAL)).unwrap();
     to.set_nodelay(true).unwrap();
     let mut buffer = vec![0; 64 << 10];
     loop {
-        wait(faults);
+        wait_while_cut(faults);
         let count = match from.read(&mut buffer) {
             Ok(0) => break,
             Ok(count) => count,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                if faults.ended.load(atomic::Ordering::SeqCst) {
+                if faults.closed.load(atomic::Ordering::SeqCst) {
                     break;
                 }
                 continue;
@@ -107,12 +109,12 @@
         if delay > 0 {
             thread::sleep(time::Duration::from_millis(delay));
         }
-        wait(faults);
+        wait_while_cut(faults);
         if to.write_all(&buffer[..count]).is_err() {
             break;
         }
     }
-    // The other direction may have ended both already.
+    // The copy loop of the other direction may have shut down both streams already.
     drop(from.shutdown(net::Shutdown::Both));
     drop(to.shutdown(net::Shutdown::Both));
 }
--- a/crates/apricotroute/tests/harness/upstream.rs
+++ b/crates/apricotroute/tests/harness/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-in upstreams as processes.
+//! Stand-in upstreams that run as processes.
 
 use std::{
     fs,
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 
-/// One upstream process.
+/// An upstream process.
 #[derive(Debug)]
 pub struct Process {
     pub address: String,
@@ -17,13 +17,13 @@
 }
 
 impl Process {
-    /// Starts an upstream with a start log.
-    pub fn start(dir: &path::Path, name: &str, zone: &str, to: &str, more: &[&str]) -> Self {
+    /// Starts an upstream that records the tasks it starts in a log, and reads its address.
+    pub fn start(dir: &path::Path, name: &str, zone: &str, to: &str, arguments: &[&str]) -> Self {
         let log = dir.join(format!("{name}.starts"));
         let mut child = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
             .args(["upstream", "--to", to, "--name", name, "--zone", zone, "--log"])
             .arg(&log)
-            .args(more)
+            .args(arguments)
             .stdout(process::Stdio::piped())
             .spawn()
             .unwrap();
@@ -32,17 +32,17 @@
         Self { address: address.trim().to_owned(), child, log }
     }
 
-    /// Tasks it has started, in order.
+    /// Returns the tasks that the upstream has started, in order.
     pub fn starts(&self) -> Vec<String> {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
-        let line = |line: &str| {
+        let task = |line: &str| {
             let value: Value = serde_json::from_str(line).unwrap();
             value["task"].as_str().unwrap().to_owned()
         };
-        text.lines().map(line).collect()
+        text.lines().map(task).collect()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         process::Command::new("kill").args([signal, &pid]).status().unwrap();
@@ -51,7 +51,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
--- a/crates/apricotroute/tests/odd_upstreams.rs
+++ b/crates/apricotroute/tests/odd_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that answer late, twice, in halves, for others, or not at all.
+//! Upstreams that answer late, twice, partially, for another task, or not at all.
 
 mod harness;
 
@@ -11,51 +11,51 @@
 use harness::{Cluster, Plan, SERVICE, delete, eventually, get, job, mint, pause, post};
 use serde_json::{Value, json};
 
-/// How a fake treats the connection of its Nth task.
+/// Handles the connection on which a fake upstream receives its task number `number`.
 type Script = fn(number: usize, task: &str, stream: &mut net::TcpStream);
 
-/// An upstream that speaks raw bytes.
-struct Fake {
+/// A fake upstream whose script writes raw bytes to the connection.
+struct FakeUpstream {
     address: net::SocketAddr,
-    seen: sync::Arc<sync::Mutex<Vec<String>>>,
+    received: sync::Arc<sync::Mutex<Vec<String>>>,
 }
 
-impl Fake {
+impl FakeUpstream {
     fn start(script: Script) -> Self {
         let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = sync::Arc::<sync::Mutex<Vec<String>>>::default();
-        let shared = sync::Arc::clone(&seen);
+        let received = sync::Arc::<sync::Mutex<Vec<String>>>::default();
+        let shared = sync::Arc::clone(&received);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let seen = sync::Arc::clone(&shared);
-                thread::spawn(move || serve(stream.unwrap(), script, &seen));
+                let received = sync::Arc::clone(&shared);
+                thread::spawn(move || serve(stream.unwrap(), script, &received));
             }
         });
-        Self { address, seen }
+        Self { address, received }
     }
 
-    fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    fn received(&self) -> Vec<String> {
+        self.received.lock().unwrap().clone()
     }
 
     fn announce(&self, cluster: &Cluster, name: &str, slots: u32) {
-        self.tell(cluster, name, slots, "serving");
+        self.announce_state(cluster, name, slots, "serving");
     }
 
-    fn tell(&self, cluster: &Cluster, name: &str, slots: u32, state: &str) {
+    fn announce_state(&self, cluster: &Cluster, name: &str, slots: u32, state: &str) {
         let body = json!({"upstream": name, "service": SERVICE, "availability_zone": "west",
                           "address": self.address.to_string(), "slots": slots, "state": state});
         assert_eq!(post(cluster.nodes[0].client, "/v1/upstreams", &body).0, 200);
     }
 }
 
-fn serve(mut stream: net::TcpStream, script: Script, seen: &sync::Mutex<Vec<String>>) {
+fn serve(mut stream: net::TcpStream, script: Script, received: &sync::Mutex<Vec<String>>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     loop {
         let mut headers = collections::BTreeMap::new();
-        let mut first = String::new();
-        if reader.read_line(&mut first).unwrap_or(0) == 0 {
+        let mut request_line = String::new();
+        if reader.read_line(&mut request_line).unwrap_or(0) == 0 {
             return;
         }
         loop {
@@ -69,11 +69,12 @@
         let length = headers.get("content-length").map_or(0, |text| text.parse().unwrap());
         let mut body = vec![0; length];
         reader.read_exact(&mut body).unwrap();
-        let task = headers.get("task-id").cloned().unwrap_or_else(|| first.trim().to_owned());
+        let task =
+            headers.get("task-id").cloned().unwrap_or_else(|| request_line.trim().to_owned());
         let number = {
-            let mut seen = seen.lock().unwrap();
-            seen.push(task.clone());
-            seen.len()
+            let mut received = received.lock().unwrap();
+            received.push(task.clone());
+            received.len()
         };
         script(number, &task, &mut stream);
     }
@@ -82,7 +83,7 @@
 fn answer(stream: &mut net::TcpStream, body: &str) {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
     let text = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
-    // The instance may have given up.
+    // The instance may have given up on the task and closed the connection.
     drop(stream.write_all(text.as_bytes()));
 }
 
@@ -101,7 +102,7 @@
 #[test]
 fn late_and_disordered() {
     let cluster = cluster();
-    let fake = Fake::start(|_, task, stream| {
+    let fake = FakeUpstream::start(|_, task, stream| {
         // The first tasks answer last.
         let index: u64 = task.rsplit('/').next().unwrap().parse().unwrap_or(0);
         pause(400 - 40 * index);
@@ -118,7 +119,7 @@
 #[test]
 fn half_answer() {
     let cluster = cluster();
-    let fake = Fake::start(|_, _, stream| {
+    let fake = FakeUpstream::start(|_, _, stream| {
         drop(stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"half"));
         drop(stream.shutdown(net::Shutdown::Both));
     });
@@ -127,33 +128,33 @@
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     assert!(body.get("answers").is_none());
     pause(300);
-    let starts = fake.seen().iter().filter(|task| task.starts_with(&id)).count();
-    assert!(starts <= 2, "nothing is tried again: {:?}", fake.seen());
+    let starts = fake.received().iter().filter(|task| task.starts_with(&id)).count();
+    assert!(starts <= 2, "no task is retried: {:?}", fake.received());
 }
 
 #[test]
 fn lost_after_request() {
     let cluster = cluster();
-    let fake = Fake::start(|_, _, stream| drop(stream.shutdown(net::Shutdown::Both)));
+    let fake = FakeUpstream::start(|_, _, stream| drop(stream.shutdown(net::Shutdown::Both)));
     fake.announce(&cluster, "u1", 4);
     let start = time::Instant::now();
     let (_, status, body) = submit(&cluster, 1, 10_000);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
-    assert!(start.elapsed() < time::Duration::from_secs(2), "what is given up is told at once");
-    assert_eq!(fake.seen().len(), 1);
+    assert!(start.elapsed() < time::Duration::from_secs(2), "a failure is reported at once");
+    assert_eq!(fake.received().len(), 1);
 }
 
 #[test]
 fn answered_twice() {
     let cluster = cluster();
-    let fake = Fake::start(|_, task, stream| {
+    let fake = FakeUpstream::start(|_, task, stream| {
         answer(stream, &format!("{{\"of\": \"{task}\"}}"));
         answer(stream, "{\"of\": \"somebody else\"}");
     });
     fake.announce(&cluster, "u1", 1);
     for _ in 0..5 {
         let (id, status, body) = submit(&cluster, 3, 5_000);
-        // A connection with a second answer is of no use; no task may get it for its own.
+        // A second response makes a connection unusable; no task may receive it as its own answer.
         if status == 200 {
             for index in 0..3 {
                 assert_eq!(body["answers"][index]["of"], format!("{id}/{index}"));
@@ -167,15 +168,15 @@
 #[test]
 fn refused_and_moved() {
     let cluster = cluster();
-    let full = Fake::start(|_, _, stream| {
+    let full = FakeUpstream::start(|_, _, stream| {
         let text = "HTTP/1.1 503 Full\r\nNot-Run: true\r\nContent-Length: 0\r\n\r\n";
         drop(stream.write_all(text.as_bytes()));
     });
     full.announce(&cluster, "u0", 8);
-    // Nobody listens there: refused before a byte was written.
-    let nowhere = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    // No process listens at this address, so connections are refused before any byte is written.
+    let closed = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let body = json!({"upstream": "u1", "service": SERVICE, "availability_zone": "west",
-                      "address": nowhere.to_string(), "slots": 8});
+                      "address": closed.to_string(), "slots": 8});
     assert_eq!(post(cluster.nodes[0].client, "/v1/upstreams", &body).0, 200);
     let good = cluster.upstream("u2", "west", &[0], &["--service-ms", "20", "--slots", "4"]);
     cluster.wait_upstreams("west", 3);
@@ -187,7 +188,7 @@
 #[test]
 fn requests_retried() {
     let cluster = cluster();
-    let fake = Fake::start(|number, _, stream| {
+    let fake = FakeUpstream::start(|number, _, stream| {
         if number == 1 {
             drop(stream.write_all(b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"));
         } else {
@@ -198,13 +199,13 @@
     let path = format!("http://{}/v1/requests/{SERVICE}", cluster.nodes[0].client);
     let response = ureq::post(&path).header("Idempotent", "true").send("x").unwrap();
     assert_eq!(response.into_body().read_to_string().unwrap(), "\"good\"");
-    assert_eq!(fake.seen().len(), 2, "idempotent: tried again");
+    assert_eq!(fake.received().len(), 2, "an idempotent request is retried");
 }
 
 #[test]
 fn requests_once() {
     let cluster = cluster();
-    let fake = Fake::start(|_, _, stream| {
+    let fake = FakeUpstream::start(|_, _, stream| {
         drop(stream.write_all(b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"));
     });
     fake.announce(&cluster, "u1", 4);
@@ -214,7 +215,7 @@
         let result = ureq::post(&path).header("Request-Id", &id).send("x");
         assert!(matches!(result, Err(ureq::Error::StatusCode(502))), "{result:?}");
     }
-    assert_eq!(fake.seen().len(), 1, "not idempotent: at most once");
+    assert_eq!(fake.received().len(), 1, "a request that is not idempotent is sent at most once");
 }
 
 #[test]
@@ -232,7 +233,7 @@
     let (status, body) = waiting.join().unwrap();
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     pause(300);
-    assert_eq!(upstream.starts().len(), 2, "the others never start");
+    assert_eq!(upstream.starts().len(), 2, "the remaining tasks never start");
     let (status, body) = get(to, &format!("/v1/jobs/{id}")).unwrap();
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     // The slots are free again.
@@ -248,19 +249,19 @@
     let start = time::Instant::now();
     let (_, status, body) = submit(&cluster, 2, 400);
     assert_eq!((status, &body["state"]), (504, &json!("failed")), "{body}");
-    let took = start.elapsed();
-    assert!((380..900).contains(&took.as_millis()), "{took:?}");
+    let elapsed = start.elapsed();
+    assert!((380..900).contains(&elapsed.as_millis()), "{elapsed:?}");
 }
 
 #[test]
 fn leaving_and_listening() {
     let cluster = cluster();
-    let fake = Fake::start(|_, _, stream| answer(stream, "1"));
+    let fake = FakeUpstream::start(|_, _, stream| answer(stream, "1"));
     fake.announce(&cluster, "u1", 4);
     assert_eq!(submit(&cluster, 4, 2_000).1, 200);
-    // It says that it is leaving, and would still take whatever came.
-    fake.tell(&cluster, "u1", 4, "leaving");
+    // The upstream announces that it is leaving, although it would still accept tasks.
+    fake.announce_state(&cluster, "u1", 4, "leaving");
     let (_, status, body) = submit(&cluster, 4, 2_000);
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
-    assert_eq!(fake.seen().len(), 4);
+    assert_eq!(fake.received().len(), 4);
 }
--- a/crates/apricotroute/tests/owner_faults.rs
+++ b/crates/apricotroute/tests/owner_faults.rs
@@ -1,4 +1,4 @@
-//! The owner of a job dies, freezes or is isolated.
+//! The instance that owns a job is killed, suspended or isolated.
 
 mod harness;
 
@@ -12,21 +12,21 @@
 fn cluster() -> (Cluster, Vec<Process>) {
     let cluster = Plan::new(3).start();
     cluster.create_service();
-    let more = ["--service-ms", "300", "--slots", "4"];
+    let arguments = ["--service-ms", "300", "--slots", "4"];
     let upstreams = vec![
-        cluster.upstream("u1", "west", &[0, 1, 2], &more),
-        cluster.upstream("u2", "west", &[1, 2, 0], &more),
+        cluster.upstream("u1", "west", &[0, 1, 2], &arguments),
+        cluster.upstream("u2", "west", &[1, 2, 0], &arguments),
     ];
     cluster.wait_upstreams("west", 2);
     (cluster, upstreams)
 }
 
-fn starts(upstreams: &[Process]) -> usize {
+fn start_count(upstreams: &[Process]) -> usize {
     upstreams.iter().map(|upstream| upstream.starts().len()).sum()
 }
 
-/// Submits from a thread, since the instance may never answer.
-fn submit_apart(cluster: &Cluster, at: usize, spec: &Value) -> thread::JoinHandle<(u16, Value)> {
+/// Submits a job from another thread, since the instance may never answer.
+fn spawn_submit(cluster: &Cluster, at: usize, spec: &Value) -> thread::JoinHandle<(u16, Value)> {
     let (to, spec) = (cluster.nodes[at].client, spec.clone());
     thread::spawn(move || harness::post(to, "/v1/jobs", &spec))
 }
@@ -37,23 +37,24 @@
     let mut answers = Answers::default();
     let id = mint("west");
     let spec = job(&id, TASKS, 20_000);
-    let first = submit_apart(&cluster, 0, &spec);
-    assert!(eventually(3_000, || starts(&upstreams) > 4));
+    let first = spawn_submit(&cluster, 0, &spec);
+    assert!(eventually(3_000, || start_count(&upstreams) > 4));
     cluster.kill(0);
-    assert_eq!(first.join().unwrap().0, 0, "the connection broke");
-    // At once and later, at both others: the job has failed, and nothing of it starts again.
-    let again = submit_apart(&cluster, 1, &spec);
+    assert_eq!(first.join().unwrap().0, 0, "the connection is closed without a response");
+    // At both other instances, at once and later, the job has failed, and none of its tasks starts
+    // again.
+    let again = spawn_submit(&cluster, 1, &spec);
     let (status, body) = cluster.submit(2, &spec);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
-    answers.note(&id, TASKS, &body);
+    answers.record(&id, TASKS, &body);
     let (status, body) = again.join().unwrap();
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
-    let before = starts(&upstreams);
+    let before = start_count(&upstreams);
     pause(1_000);
-    assert_eq!(starts(&upstreams), before);
+    assert_eq!(start_count(&upstreams), before);
     assert!(before < TASKS);
-    answers.judge(&upstreams);
-    // The zone goes on.
+    answers.verify(&upstreams);
+    // The zone still runs new jobs.
     let id = mint("west");
     let (status, body) = cluster.submit(1, &job(&id, 6, 10_000));
     assert_eq!(status, 200, "{body}");
@@ -72,31 +73,32 @@
         let (status, again) = cluster.submit(at, &spec);
         assert_eq!(status, 200, "{again}");
         assert_eq!(again["answers"], first["answers"]);
-        answers.note(&id, 6, &again);
+        answers.record(&id, 6, &again);
     }
-    answers.judge(&upstreams);
+    answers.verify(&upstreams);
 }
 
 #[test]
 fn killed_at_once() {
     let (mut cluster, upstreams) = cluster();
     let mut answers = Answers::default();
-    // Around the admission: before it, while it is on its way, before the first start.
+    // The owner is killed around the admission of the job: before the admission, during it, and
+    // before the first task starts.
     for wait in [0, 1, 2, 4, 8] {
         let id = mint("west");
         let spec = job(&id, 4, 10_000);
-        let first = submit_apart(&cluster, 0, &spec);
+        let first = spawn_submit(&cluster, 0, &spec);
         pause(wait);
         cluster.kill(0);
-        answers.note(&id, 4, &first.join().unwrap().1);
+        answers.record(&id, 4, &first.join().unwrap().1);
         let (status, body) = cluster.submit(1, &spec);
         assert!(matches!(status, 200 | 502), "{body}");
-        answers.note(&id, 4, &body);
+        answers.record(&id, 4, &body);
         cluster.start(0);
         cluster.wait_ready();
         cluster.wait_upstreams("west", 2);
     }
-    answers.judge(&upstreams);
+    answers.verify(&upstreams);
 }
 
 #[test]
@@ -105,28 +107,28 @@
     let mut answers = Answers::default();
     let id = mint("west");
     let spec = job(&id, TASKS, 20_000);
-    let first = submit_apart(&cluster, 0, &spec);
-    assert!(eventually(3_000, || starts(&upstreams) > 4));
+    let first = spawn_submit(&cluster, 0, &spec);
+    assert!(eventually(3_000, || start_count(&upstreams) > 4));
     cluster.signal(0, "-STOP");
-    // Longer than every lease.
+    // The owner stays suspended for longer than every lease.
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
-    answers.note(&id, TASKS, &body);
+    answers.record(&id, TASKS, &body);
     pause(1_000);
-    let before = starts(&upstreams);
+    let before = start_count(&upstreams);
     cluster.signal(0, "-CONT");
     let (status, body) = first.join().unwrap();
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
-    answers.note(&id, TASKS, &body);
+    answers.record(&id, TASKS, &body);
     pause(1_000);
-    assert_eq!(starts(&upstreams), before, "it starts nothing after it woke");
-    answers.judge(&upstreams);
+    assert_eq!(start_count(&upstreams), before, "the resumed owner starts no task");
+    answers.verify(&upstreams);
     cluster.wait_ready();
-    let back = || {
+    let rejoined = || {
         let status = cluster.status(1);
         status["members"].as_array().is_some_and(|members| members.len() == 3)
     };
-    assert!(eventually(5_000, back));
+    assert!(eventually(5_000, rejoined));
     let id = mint("west");
     let (status, body) = cluster.submit(0, &job(&id, 6, 10_000));
     assert_eq!(status, 200, "{body}");
@@ -138,12 +140,12 @@
     let mut answers = Answers::default();
     let id = mint("west");
     let spec = job(&id, TASKS, 15_000);
-    let first = submit_apart(&cluster, 0, &spec);
-    assert!(eventually(3_000, || starts(&upstreams) > 4));
+    let first = spawn_submit(&cluster, 0, &spec);
+    assert!(eventually(3_000, || start_count(&upstreams) > 4));
     cluster.isolate(&[0], true);
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
-    answers.note(&id, TASKS, &body);
+    answers.record(&id, TASKS, &body);
     let job_starts = || -> usize {
         let count = |u: &Process| u.starts().iter().filter(|task| task.starts_with(&id)).count();
         upstreams.iter().map(count).sum()
@@ -151,8 +153,8 @@
     let before = job_starts();
     assert!(before < TASKS);
     pause(1_000);
-    assert_eq!(job_starts(), before, "it stopped by its own clock");
-    // Alone it refuses new jobs truthfully, and serves what is idempotent.
+    assert_eq!(job_starts(), before, "the isolated owner stopped by its own clock");
+    // The isolated instance refuses new jobs with a truthful state and serves idempotent requests.
     let other = mint("west");
     let (status, body) = cluster.submit(0, &job(&other, 2, 6_000));
     assert_eq!((status, &body["state"]), (503, &json!("unknown")), "{body}");
@@ -165,30 +167,30 @@
     cluster.isolate(&[0], false);
     let (_, body) = first.join().unwrap();
     assert!(matches!(body["state"].as_str(), Some("failed" | "unknown")), "{body}");
-    answers.note(&id, TASKS, &body);
+    answers.record(&id, TASKS, &body);
     assert_eq!(job_starts(), before);
-    answers.judge(&upstreams);
+    answers.verify(&upstreams);
 }
 
 #[test]
 fn heard_one_way() {
-    // The owner hears the others, they do not hear it.
+    // The owner receives messages from the other instances, but they receive none from it.
     let (cluster, upstreams) = cluster();
     let mut answers = Answers::default();
     let id = mint("west");
     let spec = job(&id, TASKS, 15_000);
-    let first = submit_apart(&cluster, 0, &spec);
-    assert!(eventually(3_000, || starts(&upstreams) > 4));
+    let first = spawn_submit(&cluster, 0, &spec);
+    assert!(eventually(3_000, || start_count(&upstreams) > 4));
     cluster.cut(&[0], &[1, 2], true);
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
-    answers.note(&id, TASKS, &body);
-    let before = starts(&upstreams);
+    answers.record(&id, TASKS, &body);
+    let before = start_count(&upstreams);
     pause(1_500);
-    assert_eq!(starts(&upstreams), before);
+    assert_eq!(start_count(&upstreams), before);
     cluster.cut(&[0], &[1, 2], false);
     let (_, body) = first.join().unwrap();
     assert!(matches!(body["state"].as_str(), Some("failed" | "unknown")), "{body}");
-    answers.note(&id, TASKS, &body);
-    answers.judge(&upstreams);
+    answers.record(&id, TASKS, &body);
+    answers.verify(&upstreams);
 }
--- a/crates/apricotroute/tests/quotas.rs
+++ b/crates/apricotroute/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Limits: quotas of teams, full queues, hopeless deadlines.
+//! Limits: team quotas, full queues and deadlines that cannot be met.
 
 mod harness;
 
@@ -7,17 +7,17 @@
 use harness::{Cluster, Plan, SERVICE, job, mint, pause, post};
 use serde_json::{Value, json};
 
-fn cluster(values: &Value, upstream: &[&str]) -> (Cluster, harness::upstream::Process) {
+fn cluster(values: &Value, arguments: &[&str]) -> (Cluster, harness::upstream::Process) {
     let cluster = Plan::new(3).start();
     let (status, body) = cluster.set(0, SERVICE, &json!({"values": values}));
     assert_eq!(status, 200, "{body}");
     cluster.wait_version(1);
-    let upstream = cluster.upstream("u1", "west", &[0, 1, 2], upstream);
+    let upstream = cluster.upstream("u1", "west", &[0, 1, 2], arguments);
     cluster.wait_upstreams("west", 1);
     (cluster, upstream)
 }
 
-fn of_team(team: &str, tasks: usize) -> Value {
+fn team_job(team: &str, tasks: usize) -> Value {
     let mut spec = job(&mint("west"), tasks, 10_000);
     spec["team"] = json!(team);
     spec
@@ -28,19 +28,19 @@
     let slow = ["--service-ms", "800", "--slots", "30"];
     let (cluster, upstream) = cluster(&json!({"team_in_flight": 10}), &slow);
     let to = cluster.nodes[0].client;
-    let first = of_team("north", 8);
+    let first = team_job("north", 8);
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &first));
     pause(200);
-    // The quota holds across the instances of the zone, and for whole jobs.
-    let (status, body) = cluster.submit(1, &of_team("north", 3));
+    // The quota applies across all instances of the zone, and to whole jobs.
+    let (status, body) = cluster.submit(1, &team_job("north", 3));
     assert_eq!((status, &body["state"]), (429, &json!("not_run")), "{body}");
     assert!(body["retry_after_ms"].as_u64().is_some(), "{body}");
-    assert_eq!(cluster.submit(2, &of_team("north", 2)).0, 200);
-    assert_eq!(cluster.submit(1, &of_team("south", 3)).0, 200);
+    assert_eq!(cluster.submit(2, &team_job("north", 2)).0, 200);
+    assert_eq!(cluster.submit(1, &team_job("south", 3)).0, 200);
     assert_eq!(waiting.join().unwrap().0, 200);
-    assert_eq!(cluster.submit(1, &of_team("north", 10)).0, 200);
-    // What could never fit is told at once, without a time to come back.
-    let (status, body) = cluster.submit(1, &of_team("north", 11));
+    assert_eq!(cluster.submit(1, &team_job("north", 10)).0, 200);
+    // A job that can never fit into the quota is refused at once, without `retry_after_ms`.
+    let (status, body) = cluster.submit(1, &team_job("north", 11));
     assert_eq!(status, 429, "{body}");
     assert!(body.get("retry_after_ms").is_none(), "{body}");
     assert_eq!(upstream.starts().len(), 8 + 2 + 3 + 10);
@@ -50,13 +50,13 @@
 fn team_rate() {
     let (cluster, upstream) = cluster(&json!({"team_rate": 5}), &["--service-ms", "10"]);
     let statuses: Vec<_> =
-        (0..12).map(|at| cluster.submit(at % 3, &of_team("north", 1)).0).collect();
+        (0..12).map(|at| cluster.submit(at % 3, &team_job("north", 1)).0).collect();
     let admitted = statuses.iter().filter(|status| **status == 200).count();
     assert!((5..=8).contains(&admitted), "{statuses:?}");
     assert!(statuses.iter().all(|status| matches!(status, 200 | 429)), "{statuses:?}");
     assert_eq!(upstream.starts().len(), admitted);
     pause(1_100);
-    assert_eq!(cluster.submit(0, &of_team("north", 4)).0, 200);
+    assert_eq!(cluster.submit(0, &team_job("north", 4)).0, 200);
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let (status, body) = cluster.submit(0, &job(&mint("west"), 60, 10_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     assert!(body["retry_after_ms"].as_u64().is_some_and(|ms| ms >= 50), "{body}");
-    assert!(upstream.starts().is_empty(), "whole jobs are refused");
+    assert!(upstream.starts().is_empty(), "the job is refused as a whole");
     assert_eq!(cluster.submit(0, &job(&mint("west"), 5, 10_000)).0, 200);
 }
 
@@ -80,5 +80,9 @@
     let before = upstream.starts().len();
     let (status, body) = cluster.submit(0, &job(&mint("west"), 2, 100));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
-    assert_eq!(upstream.starts().len(), before, "refused before anything starts");
+    assert_eq!(
+        upstream.starts().len(),
+        before,
+        "the job is refused before any of its tasks starts"
+    );
 }
--- a/crates/apricotroute/tests/same_id.rs
+++ b/crates/apricotroute/tests/same_id.rs
@@ -1,4 +1,4 @@
-//! The same submission from everywhere at the same moment.
+//! Many clients submit the same job to different instances at the same time.
 
 mod harness;
 
@@ -22,20 +22,20 @@
     for _ in 0..3 {
         let id = mint("west");
         let spec = job(&id, TASKS, 10_000);
-        let all: Vec<_> = thread::scope(|scope| {
-            let ask = |client: usize| {
+        let responses: Vec<_> = thread::scope(|scope| {
+            let submit = |client: usize| {
                 let (cluster, spec) = (&cluster, &spec);
                 scope.spawn(move || cluster.submit(client % 3, spec))
             };
-            let threads: Vec<_> = (0..CLIENTS).map(ask).collect();
+            let threads: Vec<_> = (0..CLIENTS).map(submit).collect();
             threads.into_iter().map(|thread| thread.join().unwrap()).collect()
         });
-        for (status, body) in &all {
+        for (status, body) in &responses {
             assert_eq!(*status, 200, "{body}");
-            answers.note(&id, TASKS, body);
+            answers.record(&id, TASKS, body);
         }
     }
-    answers.judge(&upstreams);
+    answers.verify(&upstreams);
 }
 
 #[test]
@@ -50,18 +50,18 @@
     let spec = job(&id, TASKS, 10_000);
     cluster.kill(leader);
     pause(50);
-    let all: Vec<_> = thread::scope(|scope| {
-        let ask = |client: usize| {
+    let responses: Vec<_> = thread::scope(|scope| {
+        let submit = |client: usize| {
             let (cluster, spec, at) = (&cluster, &spec, others[client % 2]);
             scope.spawn(move || cluster.submit(at, spec))
         };
-        let threads: Vec<_> = (0..CLIENTS).map(ask).collect();
+        let threads: Vec<_> = (0..CLIENTS).map(submit).collect();
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
     let mut answers = Answers::default();
-    for (status, body) in &all {
+    for (status, body) in &responses {
         assert_eq!(*status, 200, "{body}");
-        answers.note(&id, TASKS, body);
+        answers.record(&id, TASKS, body);
     }
-    answers.judge(&upstreams);
+    answers.verify(&upstreams);
 }
--- a/crates/apricotroute/tests/settings_faults.rs
+++ b/crates/apricotroute/tests/settings_faults.rs
@@ -1,4 +1,5 @@
-//! The settings tree: races of operators, resends, lost disks, restarts, damage.
+//! The settings tree under concurrent changes, resent changes, lost disks, restarts and damaged
+//! files.
 
 mod harness;
 
@@ -12,7 +13,7 @@
     cluster.set(at, "ireland", &body)
 }
 
-fn fresh() -> String {
+fn new_change_id() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
@@ -26,20 +27,20 @@
     let cluster = Plan::new(3).start();
     let mut version = 0;
     for round in 0..8_u64 {
-        let ids: Vec<_> = (0..3).map(|_| fresh()).collect();
+        let ids: Vec<_> = (0..3).map(|_| new_change_id()).collect();
         let outcomes: Vec<_> = thread::scope(|scope| {
-            let ask = |at: usize| {
+            let submit = |at: usize| {
                 let (cluster, id) = (&cluster, &ids[at]);
                 scope.spawn(move || change(cluster, at, id, Some(version), round * 10 + at as u64))
             };
-            let threads: Vec<_> = (0..3).map(ask).collect();
+            let threads: Vec<_> = (0..3).map(submit).collect();
             threads.into_iter().map(|thread| thread.join().unwrap()).collect()
         });
         let winners: Vec<_> = (0..3).filter(|at| outcomes[*at].0 == 200).collect();
         assert_eq!(winners.len(), 1, "{outcomes:?}");
         assert!(outcomes.iter().all(|(status, _)| matches!(status, 200 | 409)), "{outcomes:?}");
         version += 1;
-        // Everybody who asks again, anywhere, gets the first outcome.
+        // A change that is sent again to any instance gets its first outcome.
         for (at, id) in ids.iter().enumerate() {
             let (status, body) = change(&cluster, (at + 1) % 3, id, Some(version - 1), 0);
             assert_eq!((status, &body["version"]), (outcomes[at].0, &outcomes[at].1["version"]));
@@ -53,27 +54,28 @@
 #[test]
 fn leader_lost() {
     let mut cluster = Plan::new(3).start();
-    let (status, _) = change(&cluster, 0, &fresh(), None, 1);
+    let (status, _) = change(&cluster, 0, &new_change_id(), None, 1);
     assert_eq!(status, 200);
     let mut accepted = 1;
     for round in 0..2 {
         let leader = cluster.leader("settings").unwrap();
         let other = (leader + 1) % 3;
-        let id = fresh();
+        let id = new_change_id();
         cluster.kill(leader);
-        // The outcome may be unknown for a while; asked again it is one, exactly once.
-        let mut told = (0, Value::Null);
+        // The outcome may be unknown for a while. Once the change is sent again, it has a single
+        // outcome and is applied exactly once.
+        let mut known = (0, Value::Null);
         let settled =
             eventually(15_000, || change(&cluster, other, &id, None, 100 + round).0 == 200);
         assert!(settled);
         for at in (0..3).filter(|at| *at != leader) {
             let outcome = change(&cluster, at, &id, None, 100 + round);
             assert_eq!(outcome.0, 200);
-            assert!(told.0 == 0 || told == outcome);
-            told = outcome;
+            assert!(known.0 == 0 || known == outcome);
+            known = outcome;
         }
         accepted += 1;
-        assert_eq!(told.1["version"], accepted);
+        assert_eq!(known.1["version"], accepted);
         cluster.start(leader);
         cluster.wait_ready();
         cluster.wait_version(accepted);
@@ -84,27 +86,27 @@
 fn disk_lost() {
     let mut cluster = Plan::new(3).start();
     for number in 1..=20 {
-        assert_eq!(change(&cluster, 0, &fresh(), None, number).0, 200);
+        assert_eq!(change(&cluster, 0, &new_change_id(), None, number).0, 200);
     }
-    // One disk is lost; its instance comes back empty under its old name.
+    // One disk is lost; its instance restarts without data under its old name.
     cluster.kill(1);
     fs::remove_dir_all(cluster.nodes[1].folder.as_ref().unwrap()).unwrap();
     cluster.start(1);
     cluster.wait_ready();
     cluster.wait_version(20);
-    let seated = || {
+    let is_repaired = || {
         let status = cluster.status(0);
         let voters = status["groups"][0]["voters"].as_array().cloned().unwrap_or_default();
-        let life = cluster.status(1)["groups"][0]["voters"].clone();
-        voters.len() == 3 && life == json!(voters)
+        let own_view = cluster.status(1)["groups"][0]["voters"].clone();
+        voters.len() == 3 && own_view == json!(voters)
     };
-    assert!(eventually(5_000, seated));
+    assert!(eventually(5_000, is_repaired));
     pause(500);
-    // Right after the repair a second voter is lost, disk and all.
+    // Right after the repair a second voter is lost together with its disk.
     cluster.kill(2);
     fs::remove_dir_all(cluster.nodes[2].folder.as_ref().unwrap()).unwrap();
-    let settled = eventually(8_000, || change(&cluster, 1, &fresh(), None, 99).0 == 200);
-    assert!(settled, "two voters hold everything");
+    let settled = eventually(8_000, || change(&cluster, 1, &new_change_id(), None, 99).0 == 200);
+    assert!(settled, "the two remaining voters hold all changes");
     assert_eq!(value(&cluster, 1), 99);
     let version = Cluster::version(&cluster.nodes[1]).unwrap();
     assert!(version >= 21);
@@ -118,7 +120,7 @@
     let mut cluster = Plan::new(3).start();
     let mut outcomes = collections::BTreeMap::new();
     for number in 1..=500_u64 {
-        let id = fresh();
+        let id = new_change_id();
         let (status, body) = change(&cluster, number as usize % 3, &id, None, number);
         assert_eq!(status, 200, "{body}");
         outcomes.insert(id, body);
@@ -126,7 +128,7 @@
     for at in 0..3 {
         cluster.kill(at);
     }
-    // An unfinished write at the end of one log.
+    // One log ends with an incomplete write.
     let log = log_file(&cluster, 0);
     let mut file = fs::OpenOptions::new().append(true).open(log).unwrap();
     file.write_all(&[40, 0, 0, 0, 1, 2]).unwrap();
@@ -146,7 +148,7 @@
 fn flipped_byte() {
     let mut cluster = Plan::new(3).start();
     for number in 1..=50 {
-        assert_eq!(change(&cluster, 0, &fresh(), None, number).0, 200);
+        assert_eq!(change(&cluster, 0, &new_change_id(), None, number).0, 200);
     }
     cluster.kill(0);
     let log = log_file(&cluster, 0);
@@ -164,12 +166,12 @@
 #[test]
 fn wrong_folder() {
     let mut cluster = Plan::new(3).start();
-    // Two processes on one folder: the second one ends with a clear error.
+    // If two processes use one folder, the second one exits with a clear error.
     let output = serve(&cluster, 0);
     assert_eq!(output.status.code(), Some(2));
     let line = String::from_utf8(output.stderr).unwrap();
     assert!(line.contains("another process uses"), "{line}");
-    // A folder of another instance is refused with its name.
+    // An instance refuses the folder of another instance, and its error names that instance.
     cluster.kill(0);
     cluster.kill(1);
     let text = fs::read_to_string(&cluster.nodes[0].settings).unwrap();
@@ -188,7 +190,7 @@
     files.into_iter().find(is_log).unwrap()
 }
 
-/// Starts an instance that is expected to end by itself.
+/// Starts an instance that is expected to exit by itself.
 fn serve(cluster: &Cluster, at: usize) -> std::process::Output {
     std::process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
         .args(["serve", "--settings"])
--- a/crates/apricotroute/tests/shutdown.rs
+++ b/crates/apricotroute/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown, and upstreams that leave.
+//! Graceful shutdown of instances, and upstreams that leave.
 
 mod harness;
 
@@ -31,7 +31,7 @@
     let operator = cluster.nodes[0].operator;
     let not_ready = || get(operator, "/readyz").is_none_or(|(status, _)| status == 503);
     assert!(eventually(1_000, not_ready));
-    // New work is refused with a hint, a second signal shortens nothing.
+    // New jobs are refused with a time to retry, and a second signal does not shorten the drain.
     let (status, body) = post(to, "/v1/jobs", &job(&mint("west"), 2, 5_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     assert!(body["retry_after_ms"].as_u64().is_some_and(|ms| ms > 0), "{body}");
@@ -39,14 +39,17 @@
     for ((id, tasks), thread) in specs.iter().zip(threads) {
         let (status, body) = thread.join().unwrap();
         assert_eq!(status, 200, "{body}");
-        answers.note(id, *tasks, &body);
+        answers.record(id, *tasks, &body);
     }
     let code = cluster.nodes[0].child.take().unwrap().wait().unwrap().code();
     assert_eq!(code, Some(0));
-    answers.judge(&upstreams);
-    // The others took over its share at once.
+    answers.verify(&upstreams);
+    // The other instances took over the share of the stopped instance at once.
     let members = || cluster.status(1)["members"].as_array().is_some_and(|m| m.len() == 2);
-    assert!(eventually(700, members), "long before it could be missed");
+    assert!(
+        eventually(700, members),
+        "the instance leaves long before its absence could be detected"
+    );
     let (status, body) = cluster.submit(1, &job(&mint("west"), 16, 10_000));
     assert_eq!(status, 200, "{body}");
 }
@@ -71,22 +74,22 @@
 fn leaving_upstream() {
     let cluster = Plan::new(3).start();
     cluster.create_service();
-    let stays = cluster.upstream("u1", "west", &[0], &["--service-ms", "20"]);
-    let mut leaves = cluster.upstream("u2", "west", &[1], &["--service-ms", "20"]);
+    let staying = cluster.upstream("u1", "west", &[0], &["--service-ms", "20"]);
+    let mut leaving = cluster.upstream("u2", "west", &[1], &["--service-ms", "20"]);
     cluster.wait_upstreams("west", 2);
     let (status, _) = cluster.submit(2, &job(&mint("west"), 100, 10_000));
     assert_eq!(status, 200);
-    leaves.signal("-TERM");
-    assert!(eventually(3_000, || leaves.child.try_wait().unwrap().is_some()));
+    leaving.signal("-TERM");
+    assert!(eventually(3_000, || leaving.child.try_wait().unwrap().is_some()));
     pause(200);
-    let before = leaves.starts().len();
+    let before = leaving.starts().len();
     assert!(before > 0);
     for at in 0..3 {
         let (status, body) = cluster.submit(at, &job(&mint("west"), 50, 10_000));
         assert_eq!(status, 200, "{body}");
     }
-    assert_eq!(leaves.starts().len(), before);
-    assert!(stays.starts().len() >= 150);
+    assert_eq!(leaving.starts().len(), before);
+    assert!(staying.starts().len() >= 150);
 }
 
 #[test]
@@ -95,12 +98,12 @@
     cluster.create_service();
     let mut upstream = cluster.upstream("u1", "west", &[0], &[]);
     cluster.wait_upstreams("west", 1);
-    // Killed without a word: its lease lapses everywhere.
+    // The upstream is killed without a withdrawal, so its lease expires at every instance.
     upstream.child.kill().unwrap();
     cluster.wait_upstreams("west", 0);
     let (status, body) = cluster.submit(2, &job(&mint("west"), 1, 2_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
-    // Withdrawn by name: gone everywhere at once.
+    // An upstream that is withdrawn by name is gone at every instance at once.
     let _other = cluster.upstream("u2", "west", &[1], &[]);
     cluster.wait_upstreams("west", 1);
     let (status, _) = delete(cluster.nodes[2].client, "/v1/upstreams/u2").unwrap();
@@ -115,7 +118,7 @@
 
 #[test]
 fn passed_on() {
-    // A submission from another zone goes beyond an instance that shuts down.
+    // A submission from another zone is forwarded past an instance that shuts down.
     let cluster = Plan::with_zones(&[("west", 2), ("mid", 1)]).start();
     cluster.create_service();
     let upstream = cluster.upstream("u1", "west", &[1], &["--service-ms", "1500"]);
@@ -134,7 +137,8 @@
 
 #[test]
 fn isolated_drain() {
-    // Nobody waits any more for the job of an isolated instance: it holds up no shutdown.
+    // No client waits any longer for the job of an isolated instance, so the job does not delay the
+    // shutdown.
     let mut cluster = Plan::new(3).start();
     cluster.create_service();
     let _upstream = cluster.upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "3"]);
--- a/crates/apricotroute/tests/upstream_troubles.rs
+++ b/crates/apricotroute/tests/upstream_troubles.rs
@@ -1,4 +1,4 @@
-//! Real processes and upstreams that are brought down by tasks, or whose room changes while they run.
+//! Real instances with upstreams that a task crashes, or whose capacity changes while they run.
 
 mod system;
 
@@ -8,18 +8,19 @@
 use system::{System, config, eventually, job};
 
 const KEEPERS: usize = 3;
-/// The entry, after the keepers.
+/// Index of the entry, which follows the keepers.
 const ENTRY: usize = KEEPERS;
-/// Upstreams at the start; each holds two tasks.
+/// Number of upstreams at the start; each has room for two tasks.
 const UPSTREAMS: usize = 4;
 
-/// One zone that serves; `net` tells the systems of this file apart.
+/// Starts a system of one zone and waits until it serves jobs; `net` distinguishes the systems of
+/// this file.
 fn system(net: u8) -> System {
     let mut system = System::new(system::Plan { net, zones: vec![(KEEPERS, 1)], relays: false });
     for at in 0..UPSTREAMS {
         system.add_upstream(&format!("i-{at}"), 0, None);
     }
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     eventually("all upstreams are known", || system.submit(ENTRY, &id(0), 8).0 == 200);
     system
@@ -29,14 +30,15 @@
     format!("{number:016x}")
 }
 
-/// Submits a job whose client waits for 20 s; gives what it is told.
+/// Submits a job from another thread, with a client that waits for 20 s; the thread returns the
+/// status and the body of the response.
 fn submit(url: String, job: Value) -> thread::JoinHandle<(u16, Value)> {
     thread::spawn(move || {
         let body = job.to_string();
-        let limit = Some(Duration::from_secs(20));
+        let timeout = Some(Duration::from_secs(20));
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(limit)
+            .timeout_global(timeout)
             .build()
             .into();
         let request = agent.post(&url).header("Host", system::HOST);
@@ -47,8 +49,8 @@
     })
 }
 
-/// A task ends the life of each upstream that starts it. It is given up after three at most, its client
-/// is told that it failed, and what ran beside it is done.
+/// A task crashes each upstream that starts it. After three starts at most the scheduler gives the
+/// task up and its client gets the state `failed`, while the jobs that ran beside it complete.
 #[test]
 fn fatal_task() {
     let mut system = system(1);
@@ -69,10 +71,10 @@
         thread::sleep(Duration::from_millis(50));
         for at in 0..system.upstreams.len() {
             let address = system.upstreams[at].address();
-            let lives = system.upstreams.iter().filter(|other| other.address() == address);
-            if system.upstreams[at].is_gone() && lives.count() == 1 {
+            let same_address = system.upstreams.iter().filter(|other| other.address() == address);
+            if system.upstreams[at].is_gone() && same_address.count() == 1 {
                 system.upstreams[at].crash();
-                // Its listener closes on a thread of its own.
+                // The listener of the crashed upstream closes on a thread of its own.
                 let is_free = || net::TcpListener::bind(address).is_ok();
                 eventually("its address is free", is_free);
                 system.add_upstream(&format!("j-{at}"), 0, Some(address));
@@ -83,14 +85,15 @@
     let of_task = |past: &platform::standin::Past| past.task == name;
     let starts: usize =
         system.upstreams.iter().map(|up| up.past().iter().filter(|p| of_task(p)).count()).sum();
-    assert!((2..=3).contains(&starts), "{starts} starts");
+    assert!((2..=3).contains(&starts), "the task started {starts} times");
     assert_eq!(answer.join().unwrap(), (200, json!({"State": "failed"})));
     for other in others {
         assert_eq!(other.join().unwrap(), (200, json!({"State": "completed"})));
     }
 }
 
-/// Upstreams that guard nothing shrink to the room for one task, and grow again.
+/// Upstreams that start tasks even without room shrink to the capacity for one task, and grow
+/// again; the scheduler never sends them more tasks than they have room for.
 #[test]
 fn room_shrinks() {
     let system = system(2);
@@ -98,12 +101,13 @@
         upstream.unguard();
         upstream.set_room(system::TASK_CPU);
     }
-    // They say so each 300 ms.
+    // Each upstream reports its capacity every 300 ms.
     thread::sleep(Duration::from_secs(1));
     let excess = || system.upstreams.iter().map(platform::standin::Standin::excess).sum::<u64>();
     let before = excess();
     let url = |number: usize| format!("http://{}/board/{}", system.client(ENTRY), id(number));
-    // Five eighths of what four upstreams with room for one task each do.
+    // The jobs are five eighths of the load that four upstreams with room for one task each can
+    // handle.
     let jobs: Vec<_> = (1..20)
         .map(|number| {
             thread::sleep(Duration::from_millis(80));
@@ -113,11 +117,11 @@
     for answer in jobs {
         assert_eq!(answer.join().unwrap(), (200, json!({"State": "completed"})));
     }
-    assert_eq!(excess(), before, "starts over their room");
+    assert_eq!(excess(), before, "tasks that exceed the capacity of their upstream");
     for upstream in &system.upstreams {
         upstream.set_room(2 * system::TASK_CPU);
     }
     thread::sleep(Duration::from_secs(1));
     assert_eq!(submit(url(20), job(8)).join().unwrap(), (200, json!({"State": "completed"})));
-    assert_eq!(excess(), before, "starts over their room");
+    assert_eq!(excess(), before, "tasks that exceed the capacity of their upstream");
 }
--- a/crates/apricotroute/tests/whole_path.rs
+++ b/crates/apricotroute/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A job from submission to its whole answer, by separate processes.
+//! A job from its submission to its complete answer, across separate processes.
 
 mod harness;
 
@@ -18,27 +18,28 @@
     let (status, first) = cluster.submit(0, &spec);
     assert_eq!((status, &first["state"]), (200, &json!("complete")), "{first}");
     let mut answers = Answers::default();
-    answers.note(&id, 220, &first);
+    answers.record(&id, 220, &first);
 
-    // The same id at another instance: the same answer, and no second start.
+    // The same id at another instance gets the same answer, and no task starts a second time.
     for at in [1, 2, 0] {
         let (status, again) = cluster.submit(at, &spec);
         assert_eq!(status, 200, "{again}");
         assert_eq!(again["answers"], first["answers"]);
-        answers.note(&id, 220, &again);
+        answers.record(&id, 220, &again);
     }
     let starts: usize = upstreams.iter().map(|upstream| upstream.starts().len()).sum();
     assert_eq!(starts, 220);
-    answers.judge(&upstreams);
+    answers.verify(&upstreams);
 
-    // Other content under the same id is another matter.
+    // Different content under the same id is a conflict.
     let (status, body) = cluster.submit(1, &job(&id, 3, 20_000));
     assert_eq!((status, &body["state"]), (409, &json!("not_run")), "{body}");
 }
 
 #[test]
 fn no_deadline() {
-    // A job that names no deadline has the service's, also for whoever submits it again.
+    // A job without a deadline gets the deadline of its service, also when a client submits it
+    // again.
     let cluster = Plan::new(3).start();
     cluster.create_service();
     let upstream = cluster.upstream("u1", "west", &[0], &["--service-ms", "2500"]);
@@ -49,7 +50,7 @@
     let (to, first) = (cluster.nodes[0].client, spec.clone());
     let first = std::thread::spawn(move || post(to, "/v1/jobs", &first));
     assert!(eventually(2_000, || upstream.starts().len() == 2));
-    // By now every instance has heard of it from the journal.
+    // By now every instance has learned of the job from the journal.
     pause(400);
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!(status, 200, "{body}");
--- a/crates/apricotroute/tests/zone_faults.rs
+++ b/crates/apricotroute/tests/zone_faults.rs
@@ -1,4 +1,4 @@
-//! Whole zones: restarted without memory, cut off from the others.
+//! Whole zones that restart without their memory, or that are cut off from the other zones.
 
 mod harness;
 
@@ -17,7 +17,7 @@
     let id = mint("west");
     let (status, body) = cluster.submit(0, &job(&id, 4, 10_000));
     assert_eq!(status, 200, "{body}");
-    answers.note(&id, 4, &body);
+    answers.record(&id, 4, &body);
     let unused = mint("west");
     for at in 0..3 {
         cluster.kill(at);
@@ -27,7 +27,7 @@
     }
     cluster.wait_ready();
     cluster.wait_upstreams("west", 1);
-    // Neither the id that ran nor one as old as it is ever run.
+    // Neither the id that already ran nor an unused id of the same age is ever run.
     for id in [&id, &unused] {
         for at in 0..3 {
             let (status, body) = cluster.submit(at, &job(id, 4, 10_000));
@@ -38,8 +38,8 @@
     let fresh = mint("west");
     let (status, body) = cluster.submit(1, &job(&fresh, 4, 10_000));
     assert_eq!(status, 200, "{body}");
-    answers.note(&fresh, 4, &body);
-    answers.judge(&upstreams);
+    answers.record(&fresh, 4, &body);
+    answers.verify(&upstreams);
 }
 
 #[test]
@@ -51,34 +51,35 @@
     cluster.wait_upstreams("west", 1);
     cluster.wait_upstreams("mid", 1);
     let mut answers = Answers::default();
-    // From another zone a job is passed to its home.
+    // An instance of another zone forwards a job to the job's home zone.
     let id = mint("west");
     let (status, body) = cluster.submit(5, &job(&id, 3, 10_000));
     assert_eq!(status, 200, "{body}");
-    answers.note(&id, 3, &body);
+    answers.record(&id, 3, &body);
 
     cluster.isolate(&[0, 1], true);
     pause(2_500);
-    // The zone goes on with its own jobs, at both of its instances.
+    // The isolated zone still runs its own jobs, at both of its instances.
     for at in [0, 1] {
         let id = mint("west");
-        let served = || cluster.submit(at, &job(&id, 3, 5_000));
-        let (status, body) = served();
+        let submit = || cluster.submit(at, &job(&id, 3, 5_000));
+        let (status, body) = submit();
         assert_eq!(status, 200, "{body}");
-        answers.note(&id, 3, &body);
+        answers.record(&id, 3, &body);
     }
-    // Elsewhere nobody can tell about its jobs, and the other zones go on.
-    let away = mint("west");
+    // No instance of another zone knows the state of the isolated zone's jobs, and the other zones
+    // still run their own.
+    let isolated = mint("west");
     let start = time::Instant::now();
-    let (status, body) = cluster.submit(2, &job(&away, 3, 5_000));
+    let (status, body) = cluster.submit(2, &job(&isolated, 3, 5_000));
     assert_eq!((status, &body["state"]), (503, &json!("unknown")), "{body}");
     assert!(start.elapsed() < time::Duration::from_millis(2_500), "{:?}", start.elapsed());
     let id = mint("mid");
     let (status, body) = cluster.submit(3, &job(&id, 3, 5_000));
     assert_eq!(status, 200, "{body}");
-    answers.note(&id, 3, &body);
+    answers.record(&id, 3, &body);
 
-    // Settings go on with the majority, and are refused truthfully on the other side.
+    // The majority still accepts settings changes; the other side refuses them truthfully.
     let (status, body) = cluster.set(2, "ireland", &json!({"values": {"max_queue": 7}}));
     assert_eq!(status, 200, "{body}");
     let version = body["version"].as_u64().unwrap();
@@ -91,12 +92,12 @@
     cluster.wait_version(version);
     let healed = || cluster.submit(5, &job(&mint("west"), 2, 5_000)).0 == 200;
     assert!(eventually(8_000, healed));
-    answers.judge(&upstreams);
+    answers.verify(&upstreams);
 }
 
 #[test]
 fn served_abroad() {
-    // No upstream at home: where the settings allow it, another zone runs the job, once.
+    // The home zone has no upstream: if the settings allow it, another zone runs the job, once.
     let cluster = Plan::with_zones(&[("west", 2), ("mid", 1)]).start();
     cluster.create_service();
     let upstreams = [cluster.upstream("u1", "mid", &[2], &[])];
@@ -113,30 +114,30 @@
         for again in [at, 1 - at] {
             let (status, body) = cluster.submit(again, &spec);
             assert_eq!(status, 200, "{body}");
-            answers.note(&id, 3, &body);
+            answers.record(&id, 3, &body);
         }
     }
     assert_eq!(upstreams[0].starts().len(), 6);
-    answers.judge(&upstreams);
-    // The zone that runs it goes out of reach: nothing is run again.
+    answers.verify(&upstreams);
+    // When the zone that runs the job becomes unreachable, no task is run again.
     let id = mint("west");
     cluster.isolate(&[2], true);
     let (status, body) = cluster.submit(0, &job(&id, 3, 4_000));
     assert!(matches!(status, 502..=504), "{body}");
-    answers.note(&id, 3, &body);
+    answers.record(&id, 3, &body);
     cluster.isolate(&[2], false);
     pause(1_500);
-    answers.judge(&upstreams);
+    answers.verify(&upstreams);
 }
 
 #[test]
 fn restarted_while_cut() {
-    // An instance without a disk restarts while its zone has nobody who votes on settings.
+    // An instance without a disk restarts while its zone has no voter of the settings group.
     let mut cluster = Plan::with_zones(&[("mid", 1), ("west", 3)]).with_disks(1).start();
     cluster.create_service();
     let _upstream = cluster.upstream("u1", "west", &[1, 2], &[]);
     cluster.wait_upstreams("west", 1);
-    // Only mid-1 and west-1 have disks, so that mid-1 alone votes.
+    // Only mid-1 and west-1 have disks, so that mid-1 is the only voter.
     cluster.isolate(&[0], true);
     cluster.kill(3);
     cluster.start(3);
@@ -152,7 +153,7 @@
 
 #[test]
 fn one_of_two() {
-    // A zone of two instances survives the loss of either, thanks to a witness elsewhere.
+    // A zone of two instances survives the loss of either, because another zone has a witness.
     for lost in [0, 1] {
         let mut cluster = Plan::with_zones(&[("west", 2), ("mid", 1)]).start();
         cluster.create_service();
@@ -163,8 +164,8 @@
         let id = mint("west");
         let (status, body) = cluster.submit(1 - lost, &job(&id, 3, 8_000));
         assert_eq!(status, 200, "{body}");
-        answers.note(&id, 3, &body);
-        answers.judge(&upstreams);
+        answers.record(&id, 3, &body);
+        answers.verify(&upstreams);
     }
 }
 
@@ -176,7 +177,7 @@
     let (status, body) = cluster.set(0, harness::SERVICE, &allow);
     assert_eq!(status, 200, "{body}");
     cluster.wait_version(1);
-    // Whoever leads the settings group hears everybody; the other five do not.
+    // The leader of the settings group receives messages from all instances; the other five do not.
     let _upstream = cluster.upstream("u1", "west", &[0, 1, 2], &[]);
     cluster.wait_upstreams("west", 1);
     pause(3_000);
