--- a/crates/apricotroute/tests/beats.rs
+++ b/crates/apricotroute/tests/beats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of another writer name no upstream to use, and the others hold.
+//! Tests that keepers refuse malformed heartbeats: these add no upstream, and known upstreams stay
+//! in use.
 
 mod system;
 
@@ -15,35 +16,38 @@
 use system::{System, agent, config, eventually};
 
 const KEEPERS: usize = 3;
-/// Heartbeats of one kind that are sent in a row.
-const MANY: usize = 2_000;
-/// Lines of one kind that a process writes in a second.
-const LINES: usize = 400;
+/// Number of invalid heartbeats that the test sends in quick succession.
+const BURST: usize = 2_000;
+/// Maximum log lines of one kind that a process writes per second.
+const LINE_RATE: usize = 400;
 
 fn system(net: u8) -> System {
     let plan = system::Plan { net, zones: vec![(KEEPERS, 1)], relays: false };
     let mut system = System::new(plan);
     system.add_upstream("i-0", 0, None);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
-    eventually("its upstream is there", || system.submit(KEEPERS, "00000000000000f0", 1).0 == 200);
+    eventually("the upstream accepts work", || {
+        system.submit(KEEPERS, "00000000000000f0", 1).0 == 200
+    });
     system
 }
 
-/// A heartbeat of the upstream `i-0`, or of one that calls itself so.
-fn beat(system: &System) -> Value {
+/// A valid heartbeat of the upstream `i-0`, or of another sender that uses its id.
+fn heartbeat(system: &System) -> Value {
     json!({"Service": system::SERVICE, "Address": system.upstreams[0].address().to_string(),
         "Zone": system::zone_name(0), "Version": "v1", "Slots": 8, "State": "ready",
         "ColdLeftMs": 0, "Labels": [], "Sequence": 1_u64 << 40,
         "Capacity": {"Cpu": system::UPSTREAM_CPU, "MemMb": 1 << 16, "Gpu": 0}})
 }
 
+/// Sends a heartbeat for an upstream id and returns the status.
 fn send(system: &System, keeper: usize, id: &str, body: &[u8]) -> u16 {
     let url = format!("http://{}/apricotroute/instances/{id}", system.operator(keeper));
     system::call(&agent(), "PUT", &url, body).0
 }
 
-/// Runs a job at once: its only upstream is held to be what it is.
+/// Asserts that a job completes at once, which shows that the only upstream is still in use.
 fn assert_served(system: &System, number: usize, after: &str) {
     let id = format!("{:016x}", 0xf100 + number);
     let answer = system.submit(KEEPERS, &id, 2);
@@ -53,31 +57,31 @@
 #[test]
 fn known_upstream_holds() {
     let system = system(41);
-    let sound = beat(&system);
+    let valid = heartbeat(&system);
     let change = |key: &str, value: Value| {
-        let mut beat = sound.clone();
-        beat[key] = value;
-        beat.to_string().into_bytes()
+        let mut heartbeat = valid.clone();
+        heartbeat[key] = value;
+        heartbeat.to_string().into_bytes()
     };
     let without = |key: &str| {
-        let mut beat = sound.clone();
-        beat.as_object_mut().unwrap().remove(key);
-        beat.to_string().into_bytes()
+        let mut heartbeat = valid.clone();
+        heartbeat.as_object_mut().unwrap().remove(key);
+        heartbeat.to_string().into_bytes()
     };
     let cases = [
         ("no capacity", without("Capacity")),
         ("no labels", without("Labels")),
         ("no address", without("Address")),
         ("no state", without("State")),
-        ("no number", without("Sequence")),
+        ("no sequence number", without("Sequence")),
         ("an unknown state", change("State", json!("dancing"))),
         ("an unknown service", change("Service", json!("nowhere"))),
         ("a number as its service", change("Service", json!(7))),
         ("a list as its capacity", change("Capacity", json!([1, 2, 3]))),
-        ("the highest number", change("Sequence", json!(u64::MAX))),
-        ("half a text", sound.to_string().as_bytes()[..80].to_vec()),
-        ("no text", b"\x00\xff\xfe\x80".to_vec()),
-        ("nothing", Vec::new()),
+        ("the highest sequence number", change("Sequence", json!(u64::MAX))),
+        ("truncated JSON", valid.to_string().as_bytes()[..80].to_vec()),
+        ("bytes that are no text", b"\x00\xff\xfe\x80".to_vec()),
+        ("an empty body", Vec::new()),
     ];
     for (number, (name, body)) in cases.iter().enumerate() {
         for keeper in 0..KEEPERS {
@@ -86,28 +90,28 @@
         }
         assert_served(&system, number, name);
     }
-    let refused = |at| system.metric(at, "announcements_refused_total", &[]);
+    let refusals = |at| system.metric(at, "announcements_refused_total", &[]);
     for keeper in 0..KEEPERS {
-        assert!(refused(keeper) >= Some(1.0), "counted at {keeper}");
+        assert!(refusals(keeper) >= Some(1.0), "refusals are not counted at keeper {keeper}");
         assert!(system.log(keeper).contains("upstream: Announcement refused."));
     }
 }
 
 #[test]
 fn nothing_is_used() {
-    // Nobody calls what such a heartbeat gives as its address.
+    // The system never connects to the address in a refused heartbeat.
     let system = system(42);
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let calls = Arc::new(AtomicUsize::new(0));
-    let counter = Arc::clone(&calls);
+    let connections = Arc::new(AtomicUsize::new(0));
+    let counter = Arc::clone(&connections);
     thread::spawn(move || {
         for _ in listener.incoming() {
             counter.fetch_add(1, Ordering::Relaxed);
         }
     });
-    let mut beat = beat(&system);
-    beat["Address"] = address.into();
+    let mut heartbeat = heartbeat(&system);
+    heartbeat["Address"] = address.into();
     let changes = [
         ("Service", json!("nowhere")),
         ("Service", json!("")),
@@ -116,32 +120,33 @@
         ("Labels", json!("a")),
     ];
     for (number, (key, value)) in changes.iter().enumerate() {
-        let mut beat = beat.clone();
-        beat[key] = value.clone();
+        let mut heartbeat = heartbeat.clone();
+        heartbeat[key] = value.clone();
         for keeper in 0..KEEPERS {
             let id = format!("i-other-{number}");
-            let status = send(&system, keeper, &id, beat.to_string().as_bytes());
+            let status = send(&system, keeper, &id, heartbeat.to_string().as_bytes());
             assert!(matches!(status, 400..=599), "{key}: {value}: {status}");
         }
     }
     for number in 0..20 {
-        assert_served(&system, number, "heartbeats of others");
+        assert_served(&system, number, "refused heartbeats of unknown upstreams");
     }
-    assert_eq!(calls.load(Ordering::Relaxed), 0);
+    assert_eq!(connections.load(Ordering::Relaxed), 0);
 }
 
 #[test]
 fn unlisted_leaves() {
-    // An upstream whose service a change has dropped is known still: its leave is acknowledged.
+    // A keeper still knows an upstream after a configuration has removed its service: it
+    // acknowledges that the upstream leaves.
     let system = system(43);
     let mut change = config(4);
     change["Routes"] = json!([]);
     change["Services"] = json!([]);
     assert_eq!(system.publish(0, &change), 200, "{}", system.log(0));
-    eventually("the change is in force", || system.read(1).1["Version"] == 4);
-    let mut leaving = beat(&system);
+    eventually("the configuration is in force", || system.read_config(1).1["Version"] == 4);
+    let mut leaving = heartbeat(&system);
     leaving["State"] = "draining".into();
-    eventually("its leave is noted", || {
+    eventually("the leave is acknowledged", || {
         send(&system, 0, "i-0", leaving.to_string().as_bytes()) == 200
     });
     let mut other = leaving.clone();
@@ -161,7 +166,7 @@
         .map(|url| {
             thread::spawn(move || {
                 let agent = agent();
-                for _ in 0..MANY / 4 {
+                for _ in 0..BURST / 4 {
                     let status = system::call(&agent, "PUT", &url, br#"{"State": "odd"}"#).0;
                     assert!(matches!(status, 400..=599), "{status}");
                 }
@@ -169,7 +174,7 @@
         })
         .collect();
     for number in 0..10 {
-        assert_served(&system, number, "some of many");
+        assert_served(&system, number, "heartbeats in a burst");
     }
     let began = std::time::Instant::now();
     for thread in threads {
@@ -177,7 +182,7 @@
     }
     let seconds = began.elapsed().as_secs() as usize + 3;
     let lines = system.log(0).matches("Announcement refused").count();
-    assert!(lines <= LINES * seconds, "{lines} lines in {seconds} s");
-    let refused = || system.metric(0, "announcements_refused_total", &[]) == Some(MANY as f64);
-    eventually("all are counted", refused);
+    assert!(lines <= LINE_RATE * seconds, "{lines} log lines in {seconds} s");
+    let counted = || system.metric(0, "announcements_refused_total", &[]) == Some(BURST as f64);
+    eventually("all refusals are counted", counted);
 }
--- a/crates/apricotroute/tests/floors.rs
+++ b/crates/apricotroute/tests/floors.rs
@@ -1,5 +1,5 @@
-//! Modules of a crate import one another in one direction only, so that each can be read without those
-//! above it.
+//! Tests that the modules of a crate import each other in one direction only, so that each can be
+//! read without the modules that import it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,30 +7,31 @@
     path::{Path, PathBuf},
 };
 
-/// Modules of one crate, and the modules that each of them names.
+/// The modules of one crate, and the modules that each of them imports.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-fn files(folder: &Path, found: &mut Vec<PathBuf>) {
+/// Collects the Rust files in a folder and its subfolders.
+fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            files(&path, found);
+            rust_files(&path, found);
         } else if path.extension().is_some_and(|end| end == "rs") {
             found.push(path);
         }
     }
 }
 
-/// The name of a module by its file; none for the root of a crate.
-fn module(source: &Path, file: &Path) -> Option<String> {
+/// The name of the module in a file; `None` for the root of a crate.
+fn module_name(source: &Path, file: &Path) -> Option<String> {
     let name = file.strip_prefix(source).unwrap().with_extension("");
     let name = name.to_str().unwrap().replace('/', "::");
     let name = name.strip_suffix("::mod").unwrap_or(&name).to_owned();
     (!["lib", "main"].contains(&name.as_str())).then_some(name)
 }
 
-/// The paths of a tree of imports, such as `a::{b, c::{self, D}}`.
-fn flatten(tree: &str, head: &str, paths: &mut Vec<String>) {
+/// Appends the paths of a tree of imports, such as `a::{b, c::{self, D}}`, each after `prefix`.
+fn flatten(tree: &str, prefix: &str, paths: &mut Vec<String>) {
     let (mut depth, mut from) = (0, 0);
     let mut parts = Vec::new();
     for (at, c) in tree.char_indices() {
@@ -49,79 +50,80 @@
         match part.split_once('{') {
             Some((before, inner)) => {
                 let inner = inner.trim_end().trim_end_matches('}');
-                flatten(inner, &format!("{head}{before}"), paths);
+                flatten(inner, &format!("{prefix}{before}"), paths);
             }
-            None => paths.push(format!("{head}{part}")),
+            None => paths.push(format!("{prefix}{part}")),
         }
     }
 }
 
-/// What a file names after `crate::` or `super::`.
-fn named(text: &str, parent: &str) -> Vec<String> {
+/// The paths that a file uses after `crate::` or `super::`, relative to the root of the crate.
+fn used_paths(text: &str, parent: &str) -> Vec<String> {
     let code: String = text.lines().map(|line| line.split("//").next().unwrap_or("")).collect();
     let mut paths = Vec::new();
     let up = if parent.is_empty() { String::new() } else { format!("{parent}::") };
-    for (mark, head) in [("crate::", String::new()), ("super::", up)] {
-        for (at, _) in code.match_indices(mark) {
-            let rest = &code[at + mark.len()..];
+    for (keyword, prefix) in [("crate::", String::new()), ("super::", up)] {
+        for (at, _) in code.match_indices(keyword) {
+            let rest = &code[at + keyword.len()..];
             if rest.starts_with('{') {
                 let end = rest.find(';').unwrap_or(rest.len());
-                flatten(rest[..end].trim().trim_matches(['{', '}']), &head, &mut paths);
+                flatten(rest[..end].trim().trim_matches(['{', '}']), &prefix, &mut paths);
             } else {
                 let is_path = |c: char| c.is_alphanumeric() || c == '_' || c == ':';
                 let end = rest.find(|c| !is_path(c)).unwrap_or(rest.len());
                 let tree = rest[end..].starts_with('{');
                 let end = if tree { rest.find(';').unwrap_or(end) } else { end };
-                flatten(&rest[..end], &head, &mut paths);
+                flatten(&rest[..end], &prefix, &mut paths);
             }
         }
     }
     paths
 }
 
+/// The imports of all modules below a source folder.
 fn imports(source: &Path) -> Imports {
     let mut found = Vec::new();
-    files(source, &mut found);
+    rust_files(source, &mut found);
     let texts: BTreeMap<_, _> = found
         .iter()
-        .filter_map(|file| Some((module(source, file)?, fs::read_to_string(file).unwrap())))
+        .filter_map(|file| Some((module_name(source, file)?, fs::read_to_string(file).unwrap())))
         .collect();
     let edges = |(name, text): (&String, &String)| {
         let parent = name.rsplit_once("::").map_or("", |(parent, _)| parent);
-        let of = |path: String| {
+        let module = |path: String| {
             let hits = texts
                 .keys()
                 .filter(|other| path == **other || path.starts_with(&format!("{other}::")));
             hits.max_by_key(|other| other.len()).cloned()
         };
-        let others = named(text, parent).into_iter().filter_map(of);
+        let others = used_paths(text, parent).into_iter().filter_map(module);
         (name.clone(), others.filter(|other| other != name).collect())
     };
     texts.iter().map(edges).collect()
 }
 
-/// A way from a module back to itself.
-fn circle(imports: &Imports) -> Option<Vec<String>> {
-    fn walk(at: &str, way: &mut Vec<String>, done: &mut BTreeSet<String>, all: &Imports) -> bool {
-        if let Some(first) = way.iter().position(|name| name == at) {
-            way.drain(..first);
-            way.push(at.to_owned());
+/// A cycle of imports, if there is one: the path from a module back to itself.
+fn find_cycle(imports: &Imports) -> Option<Vec<String>> {
+    fn walk(at: &str, path: &mut Vec<String>, done: &mut BTreeSet<String>, all: &Imports) -> bool {
+        if let Some(first) = path.iter().position(|name| name == at) {
+            path.drain(..first);
+            path.push(at.to_owned());
             return true;
         }
         if !done.insert(at.to_owned()) {
             return false;
         }
-        way.push(at.to_owned());
-        let found = all[at].iter().any(|next| walk(next, way, done, all));
+        path.push(at.to_owned());
+        let found = all[at].iter().any(|next| walk(next, path, done, all));
         if !found {
-            way.pop();
+            path.pop();
         }
         found
     }
     let mut done = BTreeSet::new();
     imports.keys().find_map(|name| {
-        let mut way = Vec::new();
-        walk(name, &mut way, &mut done, imports).then_some(way)
+        let mut path = Vec::new();
+        walk(name, &mut path, &mut done, imports).then_some(path)
     })
 }
 
@@ -134,15 +136,15 @@
     for source in sources {
         let imports = imports(&source.join("src"));
         assert!(imports.len() > 1, "no modules in {}", source.display());
-        if let Some(way) = circle(&imports) {
-            panic!("{}: {}", source.display(), way.join(" -> "));
+        if let Some(path) = find_cycle(&imports) {
+            panic!("{}: {}", source.display(), path.join(" -> "));
         }
     }
 }
 
 #[test]
 fn circles_are_found() {
-    // What the test above goes by finds imports of all forms.
+    // Checks that the helpers of the test above find imports in all forms, and cycles.
     let texts = [
         ("a", "use crate::{b::{self, B}, c};"),
         ("b", "fn f() -> crate::c::C {}"),
@@ -151,7 +153,7 @@
         ("d::f", "use crate::d::e;"),
     ];
     let parent = |name: &str| name.rsplit_once("::").map_or("", |(up, _)| up).to_owned();
-    let find = |at: usize| named(texts[at].1, &parent(texts[at].0));
+    let find = |at: usize| used_paths(texts[at].1, &parent(texts[at].0));
     assert_eq!(find(0), ["b::self", "b::B", "c"]);
     assert_eq!(find(1), ["c::C"]);
     assert_eq!(find(2), Vec::<String>::new());
@@ -161,7 +163,7 @@
         let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
         pairs.iter().map(|(name, names)| ((*name).to_owned(), set(names))).collect()
     };
-    let tied = imports(&[("a", &["b"]), ("b", &["c"]), ("c", &["b"])]);
-    assert_eq!(circle(&tied), Some(vec!["b".to_owned(), "c".to_owned(), "b".to_owned()]));
-    assert_eq!(circle(&imports(&[("a", &["b", "c"]), ("b", &["c"]), ("c", &[])])), None);
+    let cyclic = imports(&[("a", &["b"]), ("b", &["c"]), ("c", &["b"])]);
+    assert_eq!(find_cycle(&cyclic), Some(vec!["b".to_owned(), "c".to_owned(), "b".to_owned()]));
+    assert_eq!(find_cycle(&imports(&[("a", &["b", "c"]), ("b", &["c"]), ("c", &[])])), None);
 }
--- a/crates/apricotroute/tests/layers.rs
+++ b/crates/apricotroute/tests/layers.rs
@@ -1,4 +1,4 @@
-//! The layers only point downwards.
+//! Tests that each crate depends only on the crates of lower layers.
 
 use std::{collections, fs, path};
 
@@ -18,10 +18,10 @@
         let path = entry.unwrap().path();
         let name = path.file_name().unwrap().to_str().unwrap();
         let text = fs::read_to_string(path.join("Cargo.toml")).unwrap();
-        let uses = text.split("[dependencies]").nth(1).unwrap();
-        let uses = uses.split("[dev-dependencies]").next().unwrap();
-        let inner = uses.lines().filter_map(|line| line.strip_prefix("apricotroute-"));
-        let inner: Vec<_> = inner.map(|line| line.split('.').next().unwrap()).collect();
-        assert_eq!(inner, allowed[name], "{name}");
+        let dependencies = text.split("[dependencies]").nth(1).unwrap();
+        let dependencies = dependencies.split("[dev-dependencies]").next().unwrap();
+        let internal = dependencies.lines().filter_map(|line| line.strip_prefix("apricotroute-"));
+        let internal: Vec<_> = internal.map(|line| line.split('.').next().unwrap()).collect();
+        assert_eq!(internal, allowed[name], "{name}");
     }
 }
--- a/crates/apricotroute/tests/platform_path.rs
+++ b/crates/apricotroute/tests/platform_path.rs
@@ -1,5 +1,5 @@
-//! Real processes on the platform's calls: keepers, entries, stand-in upstreams, an operator and
-//! clients, all on loopback.
+//! Tests of the platform's calls with real processes: keepers, entries, stand-in upstreams, an
+//! operator and clients, all on loopback.
 
 mod system;
 
@@ -15,7 +15,7 @@
 
 const KEEPERS: usize = 3;
 
-/// One zone of three keepers; `net` tells the systems of this file apart.
+/// Starts one zone with three keepers; each system of this file needs its own `net`.
 fn system(net: u8, entries: usize, upstreams: usize) -> System {
     let mut system =
         System::new(system::Plan { net, zones: vec![(KEEPERS, entries)], relays: false });
@@ -25,7 +25,7 @@
     system
 }
 
-fn raw(method: &str, url: &str, body: &[u8]) -> (u16, Value) {
+fn request(method: &str, url: &str, body: &[u8]) -> (u16, Value) {
     system::call(&agent(), method, url, body)
 }
 
@@ -34,9 +34,9 @@
     let system = system(1, 2, 4);
     let url = format!("http://{}/board/", system.client(KEEPERS));
     eventually("an entry answers", || get(&url).0 == 503);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
-    assert_eq!(system.read(1), (200, config(3)));
+    assert_eq!(system.read_config(1), (200, config(3)));
     for number in 0..10 {
         let id = format!("{number:016x}");
         let (status, body) = system.submit(KEEPERS + number % 2, &id, 6);
@@ -50,7 +50,7 @@
 #[test]
 fn bad_input() {
     let system = system(2, 1, 1);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     let change = |edit: fn(&mut Value)| {
         let mut config = config(9);
@@ -70,35 +70,39 @@
     for config in faulty {
         assert_eq!(system.publish(0, &config), 400, "{config}");
     }
-    let control = system.operator(0);
-    let cut = config(9).to_string();
+    let operator = system.operator(0);
+    let text = config(9).to_string();
     let (status, body) =
-        raw("PUT", &format!("http://{control}/apricotroute/config"), &cut.as_bytes()[..200]);
+        request("PUT", &format!("http://{operator}/apricotroute/config"), &text.as_bytes()[..200]);
     assert_eq!(status, 400);
     assert!(body["Error"].as_str().unwrap().contains("line 1"), "{body}");
-    assert_eq!(system.publish(0, &config(3)), 200, "the same again");
+    assert_eq!(system.publish(0, &config(3)), 200, "the same configuration again");
     let mut other = config(3);
     other["Routes"][0]["TimeoutMs"] = 9.into();
     assert_eq!(system.publish(1, &other), 409);
-    assert_eq!(system.read(2), (200, config(3)));
+    assert_eq!(system.read_config(2), (200, config(3)));
 
     let client = system.client(KEEPERS);
     let id = "00000000000000aa";
-    let send = |path: &str, body: &[u8]| raw("POST", &format!("http://{client}{path}"), body).0;
-    let sound = job(1).to_string();
-    assert_eq!(send("/none/aa", sound.as_bytes()), 404);
-    assert_eq!(send("/board/xyz", sound.as_bytes()), 400);
+    let send = |path: &str, body: &[u8]| request("POST", &format!("http://{client}{path}"), body).0;
+    let valid = job(1).to_string();
+    assert_eq!(send("/none/aa", valid.as_bytes()), 404);
+    assert_eq!(send("/board/xyz", valid.as_bytes()), 400);
     assert_eq!(send(&format!("/board/{id}"), b"{"), 400);
     assert_eq!(send(&format!("/board/{id}"), &vec![b'x'; 5_000]), 413);
     assert_eq!(send(&format!("/board/{id}"), br#"{"Spec":"","Steps":[]}"#), 400);
-    let kept = json!({"Spec": "", "Steps": [{"Count": 1, "Cpu": 1}]}).to_string();
-    assert_eq!(send(&format!("/board/{id}"), kept.as_bytes()), 503, "not supported yet");
+    let unsupported = json!({"Spec": "", "Steps": [{"Count": 1, "Cpu": 1}]}).to_string();
+    assert_eq!(
+        send(&format!("/board/{id}"), unsupported.as_bytes()),
+        503,
+        "jobs without BestEffort are not supported yet"
+    );
     assert_eq!(get(&format!("http://{client}/board/{id}")).0, 410);
     assert_eq!(get(&format!("http://{client}/board/")), (200, json!({"Pending": 0})));
-    assert_eq!(system.submit(KEEPERS, id, 1).0, 200, "nothing was held up by all that");
+    assert_eq!(system.submit(KEEPERS, id, 1).0, 200, "the refused requests delay no others");
 }
 
-/// Sends what is given and leaves the connection open.
+/// Sends an incomplete request and leaves the connection open.
 fn half_sent(to: net::SocketAddr, text: &str) -> net::TcpStream {
     let mut stream = net::TcpStream::connect(to).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
@@ -107,27 +111,27 @@
 
 #[test]
 fn half_requests() {
-    // Clients and upstreams that send half a request and wait hold up nobody else.
+    // Clients and upstreams that send half a request and then wait do not delay other requests.
     let system = system(6, 1, 2);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     let (client, operator) = (system.client(KEEPERS), system.operator(0));
     let head = "POST /board/00000000000000e0 HTTP/1.1\r\nHost: shop.example\r\n";
     let body =
         format!("{head}Content-Type: application/json\r\nContent-Length: 400\r\n\r\n{{\"Spec\"");
-    let beat =
+    let heartbeat =
         "PUT /apricotroute/instances/i-x HTTP/1.1\r\nHost: x\r\nContent-Length: 900\r\n\r\n{";
     let open: Vec<_> = (0..200)
         .flat_map(|_| {
-            [half_sent(client, head), half_sent(client, &body), half_sent(operator, beat)]
+            [half_sent(client, head), half_sent(client, &body), half_sent(operator, heartbeat)]
         })
         .collect();
     let began = Instant::now();
     assert_eq!(system.submit(KEEPERS, "00000000000000e1", 2).0, 200);
     assert_eq!(system.publish(0, &config(4)), 200);
-    assert_eq!(system.read(0), (200, config(4)));
+    assert_eq!(system.read_config(0), (200, config(4)));
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
-    // Those that never come to an end are told so.
+    // The server answers a request that never completes with status 408.
     let mut slow = &open[1];
     slow.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let mut text = [0; 12];
@@ -138,7 +142,7 @@
 #[test]
 fn scheduler_killed() {
     let mut system = system(3, 2, 4);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     assert_eq!(system.submit(KEEPERS, "00000000000000b1", 4).0, 200);
     let scheduler = (0..KEEPERS).find(|at| system.log(*at).contains("zone: Scheduling")).unwrap();
@@ -146,32 +150,40 @@
     let began = Instant::now();
     assert_eq!(system.submit(KEEPERS + 1, "00000000000000b2", 4).0, 200);
     assert!(began.elapsed() < Duration::from_millis(1_900), "{:?}", began.elapsed());
-    system.write(scheduler, false, &json!({}));
+    system.write_settings(scheduler, false, &json!({}));
     system.start(scheduler);
     let other = (scheduler + 1) % KEEPERS;
-    eventually("a change without a keeper", || system.publish(other, &config(4)) == 200);
-    eventually("it catches up", || system.read(scheduler) == (200, config(4)));
+    eventually("a configuration is accepted without one keeper", || {
+        system.publish(other, &config(4)) == 200
+    });
+    eventually("the restarted keeper catches up", || {
+        system.read_config(scheduler) == (200, config(4))
+    });
 }
 
 #[test]
 fn graceful_stop() {
     let mut system = system(4, 2, 4);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     let address = system.client(KEEPERS);
     let clients: Vec<_> = (0..4)
         .map(|at| {
             let url = format!("http://{address}/board/{:016x}", 0xc0 + at);
-            thread::spawn(move || raw("POST", &url, job(4).to_string().as_bytes()).0)
+            thread::spawn(move || request("POST", &url, job(4).to_string().as_bytes()).0)
         })
         .collect();
     thread::sleep(Duration::from_millis(50));
     system.signal(KEEPERS, "-TERM");
     for client in clients {
-        assert_eq!(client.join().unwrap(), 200, "what is in progress ends");
+        assert_eq!(client.join().unwrap(), 200, "requests in progress complete");
     }
     assert!(!system.is_ready(KEEPERS));
-    assert_eq!(system.submit(KEEPERS, "00000000000000c9", 1).0, 200, "the balancer still sends");
+    assert_eq!(
+        system.submit(KEEPERS, "00000000000000c9", 1).0,
+        200,
+        "the load balancer still sends requests to a draining entry"
+    );
     let mut child = system.nodes[KEEPERS].child.take().unwrap();
     let began = Instant::now();
     assert!(child.wait().unwrap().success());
@@ -181,29 +193,32 @@
 #[test]
 fn reload() {
     let system = system(5, 1, 1);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     for _ in 0..3 {
         system.signal(KEEPERS, "-HUP");
     }
-    eventually("it says so", || system.log(KEEPERS).contains("Settings read again"));
-    fs::write(system.file(KEEPERS), "{").unwrap();
+    eventually("the entry logs the reload", || system.log(KEEPERS).contains("Settings read again"));
+    fs::write(system.settings_file(KEEPERS), "{").unwrap();
     system.signal(KEEPERS, "-HUP");
-    eventually("it keeps the former", || system.log(KEEPERS).contains("keeping the former"));
+    eventually("the entry keeps the former settings", || {
+        system.log(KEEPERS).contains("keeping the former")
+    });
     assert_eq!(system.submit(KEEPERS, "00000000000000d1", 1).0, 200);
 }
 
 #[test]
 fn output_blocked() {
-    // Lines that nobody reads fill the pipe (64 KiB) and the queue before it; then they are dropped.
+    // Unread log lines fill the pipe (64 KiB) and the queue before it; the process then drops
+    // further lines.
     let mut system = system(7, 1, 2);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     for at in 0..=KEEPERS {
         system.kill(at);
     }
     for at in 0..=KEEPERS {
-        system.write(at, false, &json!({}));
+        system.write_settings(at, false, &json!({}));
         system.start_unread(at);
     }
     system.wait_ready();
@@ -214,28 +229,34 @@
     system.signal(KEEPERS, "-TERM");
     let mut child = system.nodes[KEEPERS].child.take().unwrap();
     let began = Instant::now();
-    eventually("it ends all the same", || child.try_wait().unwrap().is_some());
+    eventually("the process ends although its output is blocked", || {
+        child.try_wait().unwrap().is_some()
+    });
     assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
 }
 
 #[test]
 fn measures() {
     let system = system(8, 1, 2);
-    eventually("a keeper takes it", || system.publish(0, &config(3)) == 200);
+    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     assert_eq!(system.submit(KEEPERS, "000000000000ee01", 4).0, 200);
-    let none = json!({"Spec": "", "BestEffort": true, "Steps": [{"Count": 1, "Cpu": 64_000}]});
+    let too_large = json!({"Spec": "", "BestEffort": true, "Steps": [{"Count": 1, "Cpu": 64_000}]});
     let url = format!("http://{}/board/000000000000ee02", system.client(KEEPERS));
     let failed = (200, json!({"State": "failed"}));
-    assert_eq!(raw("POST", &url, none.to_string().as_bytes()), failed, "no upstream is as large");
-    let of = |at, name: &str| system.metric(at, name, &[]);
-    let scheduling = |at: &usize| of(*at, "scheduling") == Some(1.0);
-    eventually("one schedules", || (0..KEEPERS).filter(scheduling).count() == 1);
+    assert_eq!(
+        request("POST", &url, too_large.to_string().as_bytes()),
+        failed,
+        "no upstream is as large"
+    );
+    let value = |at, name: &str| system.metric(at, name, &[]);
+    let scheduling = |at: &usize| value(*at, "scheduling") == Some(1.0);
+    eventually("one keeper schedules", || (0..KEEPERS).filter(scheduling).count() == 1);
     let keeper = (0..KEEPERS).find(scheduling).unwrap();
-    eventually("the values are fresh", || of(keeper, "free_cores") == Some(64.0));
-    assert_eq!(of(keeper, "start_wait_seconds_count"), Some(4.0));
-    assert_eq!(of(keeper, "upstreams"), Some(2.0));
-    assert_eq!(of(keeper, "settings_voters"), Some(3.0));
+    eventually("the gauges are up to date", || value(keeper, "free_cores") == Some(64.0));
+    assert_eq!(value(keeper, "start_wait_seconds_count"), Some(4.0));
+    assert_eq!(value(keeper, "upstreams"), Some(2.0));
+    assert_eq!(value(keeper, "settings_voters"), Some(3.0));
     let labels = ["order=\"start\"", "outcome=\"done\""];
     assert_eq!(system.metric(keeper, "upstream_call_seconds_count", &labels), Some(4.0));
     for outcome in ["outcome=\"complete\"", "outcome=\"too_large\""] {
@@ -244,8 +265,10 @@
         assert_eq!(count, Some(1.0), "{outcome}");
     }
     // Gauges are at most half a second old.
-    eventually("the entry's are", || of(KEEPERS, "settings_version") == Some(3.0));
-    let leading = |at: &usize| of(*at, "settings_leading") == Some(1.0);
-    eventually("one leads", || (0..KEEPERS).filter(leading).count() == 1);
-    assert!((0..KEEPERS).all(|at| of(at, "disk_sync_seconds_count") > Some(0.0)));
+    eventually("the gauges of the entry are up to date", || {
+        value(KEEPERS, "settings_version") == Some(3.0)
+    });
+    let leading = |at: &usize| value(*at, "settings_leading") == Some(1.0);
+    eventually("one keeper leads", || (0..KEEPERS).filter(leading).count() == 1);
+    assert!((0..KEEPERS).all(|at| value(at, "disk_sync_seconds_count") > Some(0.0)));
 }
--- a/crates/apricotroute/tests/seen_outside.rs
+++ b/crates/apricotroute/tests/seen_outside.rs
@@ -1,4 +1,4 @@
-//! Traces, metrics and logs.
+//! Tests of the traces, metrics and logs that an instance exposes.
 
 mod harness;
 
@@ -63,7 +63,7 @@
         "over_ideal_ms_count",
     ];
     for line in lines {
-        assert!(eventually(2_000, || text().contains(line)), "no {line} in {}", text());
+        assert!(eventually(2_000, || text().contains(line)), "{line} is missing in {}", text());
     }
 }
 
@@ -75,9 +75,9 @@
     let lines: Vec<Value> = text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     for line in &lines {
         let message = line["msg"].as_str().unwrap();
-        let (part, rest) = message.split_once(": ").unwrap();
+        let (component, rest) = message.split_once(": ").unwrap();
         let known = ["instance", "store", "control", "journal", "settings", "upstreams"];
-        assert!(known.contains(&part) && rest.ends_with('.'), "{message}");
+        assert!(known.contains(&component) && rest.ends_with('.'), "{message}");
         assert_eq!(line["instance"], "west-1");
     }
     assert!(lines.iter().any(|line| line["msg"] == "instance: Stopped."));
--- a/crates/apricotroute/tests/soak/judge.rs
+++ b/crates/apricotroute/tests/soak/judge.rs
@@ -1,4 +1,4 @@
-//! What must hold of everything that callers, operators and upstreams have seen.
+//! Checks the invariants of the system against all that clients, operators and upstreams observed.
 
 use std::{
     collections,
@@ -7,109 +7,129 @@
 
 use platform::standin::Past;
 
-use super::load::{Request, Seen};
+use super::load::{Observations, Request};
 
-/// A configuration is in force everywhere this long after its acknowledgement.
-const APPLY: Duration = Duration::from_secs(2);
-/// No upstream gets new work this long after a keeper acknowledged that it leaves.
-const DRAIN: Duration = Duration::from_secs(2);
-/// Instances are in touch again this long after the last fault on them or between them.
-const TOUCH: Duration = Duration::from_secs(3);
-/// An upstream and its callers may differ so much about when something happened: its clock looks
-/// at ends every 5 ms, and threads of a busy machine wait.
-const BLUR: Duration = Duration::from_millis(20);
+/// Maximum time from the acknowledgement of a configuration until it is in force everywhere.
+const APPLY_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum time from the acknowledgement of an upstream's leave until it gets no new work.
+const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+/// Instances are connected again this long after the last fault on them or between them.
+const RECONNECT_TIME: Duration = Duration::from_secs(3);
+/// An upstream and its callers may record times for one event that differ by this much, because
+/// the upstream checks for finished tasks every 5 ms and threads wait on a busy machine.
+const TIME_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// Runs of all upstreams, by task.
+/// The runs on all upstreams, by task name.
 pub type Runs = collections::BTreeMap<String, Vec<Past>>;
 
-/// Sorts runs by task and time.
-pub fn sort(runs: impl Iterator<Item = Past>) -> Runs {
-    let mut sorted = Runs::new();
+/// Groups runs by task, in the order of their starts.
+pub fn group_runs(runs: impl Iterator<Item = Past>) -> Runs {
+    let mut groups = Runs::new();
     for run in runs {
-        sorted.entry(run.task.clone()).or_default().push(run);
+        groups.entry(run.task.clone()).or_default().push(run);
     }
-    for list in sorted.values_mut() {
+    for list in groups.values_mut() {
         list.sort_by_key(|run| run.began);
     }
-    sorted
+    groups
 }
 
-/// No task runs twice at a time.
-pub fn runs(view: &Seen, runs: &Runs) {
+/// Checks that no task runs twice at the same time.
+pub fn check_runs(observed: &Observations, runs: &Runs) {
     for (task, list) in runs {
         for pair in list.windows(2) {
-            let over = pair[0].over.map(|(at, _)| at);
-            if over.is_none_or(|over| over > pair[1].began + BLUR) {
-                view.fault(format!("{task} ran twice at a time: {pair:?}"));
+            let end = pair[0].over.map(|(at, _)| at);
+            if end.is_none_or(|end| end > pair[1].began + TIME_TOLERANCE) {
+                observed.violation(format!("{task} ran twice at the same time: {pair:?}"));
             }
         }
     }
 }
 
-/// Answers are whole, and "not run" is true.
-pub fn answers(view: &Seen, runs: &Runs) {
-    let requests = view.requests.lock().unwrap().clone();
+/// Checks that a request is answered as complete only after all its tasks are done, and that a
+/// request refused in all its attempts has run no task.
+pub fn check_answers(observed: &Observations, runs: &Runs) {
+    let requests = observed.requests.lock().unwrap().clone();
     for request in &requests {
-        let known = |index: u32| runs.get(&format!("{}.0.0.{index}", request.id));
-        match request.last() {
+        let runs_of = |index: u32| runs.get(&format!("{}.0.0.{index}", request.id));
+        match request.last_status() {
             200 if request.state == "completed" => {
-                let at = request.tries.last().map(|(_, at)| *at).unwrap();
-                let done = |past: &Past| {
-                    past.over.is_some_and(|(over, how)| how == "done" && over <= at + BLUR)
+                let at = request.attempts.last().map(|(_, at)| *at).unwrap();
+                let done = |run: &Past| {
+                    run.over.is_some_and(|(end, outcome)| {
+                        outcome == "done" && end <= at + TIME_TOLERANCE
+                    })
                 };
-                let whole = (0..request.tasks)
-                    .all(|index| known(index).is_some_and(|list| list.iter().any(done)));
-                if !whole {
-                    view.fault(format!("{request:?} was complete before all its tasks were done"));
+                let complete = (0..request.tasks)
+                    .all(|index| runs_of(index).is_some_and(|list| list.iter().any(done)));
+                if !complete {
+                    observed.violation(format!(
+                        "{request:?} was answered as complete before all its tasks were done"
+                    ));
                 }
             }
-            200 if request.state != "failed" => view.fault(format!("{request:?} has no state")),
+            200 if request.state != "failed" => {
+                observed.violation(format!("{request:?} has no state"));
+            }
             429 | 503
-                if request.tries.iter().all(|(status, _)| matches!(status, 429 | 503))
-                    && (0..request.tasks).any(|index| known(index).is_some()) =>
+                if request.attempts.iter().all(|(status, _)| matches!(status, 429 | 503))
+                    && (0..request.tasks).any(|index| runs_of(index).is_some()) =>
             {
-                view.fault(format!("{request:?} was said not to have run, and it ran"));
+                observed.violation(format!(
+                    "{request:?} was refused in all attempts, but its tasks ran"
+                ));
             }
             _ => {}
         }
     }
 }
 
-/// Reads are never older than what was acknowledged, and are what somebody handed in.
-pub fn reads(view: &Seen) {
-    let published = view.published.lock().unwrap().clone();
-    for (sent, version, config) in view.reads.lock().unwrap().iter() {
-        let due = sent.checked_sub(APPLY).map_or(0, |before| view.acknowledged(before));
-        if *version < due {
-            view.fault(format!("version {version} was read after {due} had been acknowledged"));
+/// Checks that a read is never older than the last acknowledged configuration, and that it equals
+/// a configuration that an operator sent.
+pub fn check_reads(observed: &Observations) {
+    let published = observed.published.lock().unwrap().clone();
+    for (sent, version, config) in observed.reads.lock().unwrap().iter() {
+        let expected =
+            sent.checked_sub(APPLY_LIMIT).map_or(0, |before| observed.acknowledged(before));
+        if *version < expected {
+            observed.violation(format!(
+                "a read returned version {version} after {expected} had been acknowledged"
+            ));
         }
         let known = published.iter().any(|(_, sent, _)| sent == config);
         if *version > 0 && !known {
-            view.fault(format!("version {version} was read, and nobody handed in {config}"));
+            observed.violation(format!(
+                "a read returned version {version}, but no operator sent {config}"
+            ));
         }
     }
 }
 
-/// Nothing is started where a keeper knows that the upstream leaves. While instances are out of
-/// touch with one another, and [`TOUCH`] after, the one that starts tasks may not have heard of it:
-/// a zone that was cut off 200 ms after the acknowledgement started tasks until it was joined.
-pub fn drained(
-    view: &Seen,
+/// Checks that no task starts on an upstream after a keeper acknowledged that it leaves. While
+/// instances are disconnected from each other, and for [`RECONNECT_TIME`] after, the instance that
+/// starts tasks may not have received the leave: a zone that was isolated 200 ms after the
+/// acknowledgement started tasks until it was reconnected.
+pub fn check_drained(
+    observed: &Observations,
     id: &str,
-    told: Instant,
+    leave: Instant,
     runs: &[Past],
     disturbed: &[(Instant, Instant)],
 ) {
-    let in_touch =
-        |at: Instant| !disturbed.iter().any(|(from, to)| *from <= at && at < *to + TOUCH);
-    for run in runs.iter().filter(|run| run.began > told + DRAIN && in_touch(run.began)) {
-        view.fault(format!("{id} got {run:?}, {:?} after it was to leave", run.began - told));
+    let connected =
+        |at: Instant| !disturbed.iter().any(|(from, to)| *from <= at && at < *to + RECONNECT_TIME);
+    for run in runs.iter().filter(|run| run.began > leave + DRAIN_LIMIT && connected(run.began)) {
+        observed.violation(format!(
+            "{id} got {run:?}, {:?} after its leave was acknowledged",
+            run.began - leave
+        ));
     }
 }
 
-/// Share of the requests that were answered as complete, among those that began after a moment.
-pub fn complete(requests: &[Request], since: Instant) -> (usize, usize) {
-    let asked: Vec<_> = requests.iter().filter(|request| request.first >= since).collect();
-    let good = |request: &&&Request| request.last() == 200 && request.state == "completed";
-    (asked.iter().filter(good).count(), asked.len())
+/// Counts the requests first sent at or after `since`: those answered as complete, and all of them.
+pub fn count_complete(requests: &[Request], since: Instant) -> (usize, usize) {
+    let sent: Vec<_> = requests.iter().filter(|request| request.first_sent >= since).collect();
+    let complete =
+        |request: &&&Request| request.last_status() == 200 && request.state == "completed";
+    (sent.iter().filter(complete).count(), sent.len())
 }
--- a/crates/apricotroute/tests/soak/load.rs
+++ b/crates/apricotroute/tests/soak/load.rs
@@ -1,4 +1,4 @@
-//! Clients and operators of a soak, and what they saw.
+//! The clients and operators of a soak run, and the record of their observations.
 
 use std::{
     collections,
@@ -12,97 +12,103 @@
 
 use crate::system;
 
-/// A client comes again after this when it had no answer, as the platform's clients do.
-const RESEND: Duration = Duration::from_millis(1_300);
-/// Tries of one request.
-const TRIES: u32 = 4;
+/// Delay before a client resends a request without an answer; the platform's clients do the same.
+const RESEND_DELAY: Duration = Duration::from_millis(1_300);
+/// Maximum attempts for one request.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// One request of a client, with all its tries.
+/// One request of a client, with all its attempts.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: String,
     pub tasks: u32,
-    pub first: Instant,
-    /// Status of each try, 0 for no whole answer, and when it was known.
-    pub tries: Vec<(u16, Instant)>,
+    pub first_sent: Instant,
+    /// The status of each attempt, 0 for no complete answer, and when the client knew it.
+    pub attempts: Vec<(u16, Instant)>,
     pub state: String,
 }
 
 impl Request {
-    /// Status of the last try.
-    pub fn last(&self) -> u16 {
-        self.tries.last().map_or(0, |(status, _)| *status)
+    /// The status of the last attempt.
+    pub fn last_status(&self) -> u16 {
+        self.attempts.last().map_or(0, |(status, _)| *status)
     }
 }
 
-/// What everybody saw.
+/// All that clients and operators observed during a run.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     pub requests: Mutex<Vec<Request>>,
-    /// Configurations that were handed in: version, content, when it was acknowledged.
+    /// Configurations that operators sent: version, content, and when it was acknowledged.
     pub published: Mutex<Vec<(u64, Value, Option<Instant>)>>,
-    /// Reads: when they were sent, and what came.
+    /// Reads: when it was sent, and the version and configuration that it returned.
     pub reads: Mutex<Vec<(Instant, u64, Value)>>,
-    pub faults: Mutex<Vec<String>>,
-    pub ended: atomic::AtomicBool,
+    pub violations: Mutex<Vec<String>>,
+    pub stopped: atomic::AtomicBool,
     version: atomic::AtomicU64,
 }
 
-impl Seen {
-    /// Notes a broken promise.
-    pub fn fault(&self, text: String) {
-        self.faults.lock().unwrap().push(text);
+impl Observations {
+    /// Records a violated invariant.
+    pub fn violation(&self, text: String) {
+        self.violations.lock().unwrap().push(text);
     }
 
-    fn is_over(&self) -> bool {
-        self.ended.load(atomic::Ordering::SeqCst)
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(atomic::Ordering::SeqCst)
     }
 
-    /// The next version that an operator uses; versions grow in uneven steps.
+    /// The next version for an operator to use, `step` above the last one; the steps vary.
     pub fn next_version(&self, step: u64) -> u64 {
         self.version.fetch_add(step, atomic::Ordering::SeqCst) + step
     }
 
-    /// The highest version that was acknowledged before a moment.
+    /// The highest version that was acknowledged at or before a given time.
     pub fn acknowledged(&self, before: Instant) -> u64 {
         let published = self.published.lock().unwrap();
-        let known = published.iter().filter(|(_, _, at)| at.is_some_and(|at| at <= before));
-        known.map(|(version, ..)| *version).max().unwrap_or(0)
+        let acknowledged = published.iter().filter(|(_, _, at)| at.is_some_and(|at| at <= before));
+        acknowledged.map(|(version, ..)| *version).max().unwrap_or(0)
     }
 }
 
-/// A client that sends one request after the other to the entries at `addresses`; it keeps its
-/// connections until they break.
-pub fn client(view: &Seen, seed: u64, addresses: &[std::net::SocketAddr], pause: Duration) {
+/// Runs a client that sends one request after another to the entries at `addresses` and reuses its
+/// connections until they close.
+pub fn client(
+    observed: &Observations,
+    seed: u64,
+    addresses: &[std::net::SocketAddr],
+    pause: Duration,
+) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let agent = system::agent();
     let mut at = rng.random_range(0..addresses.len());
-    while !view.is_over() {
+    while !observed.is_stopped() {
         let (id, tasks) = (format!("{:016x}", rng.random::<u64>()), rng.random_range(1..5));
-        let (first, tries, state) = (Instant::now(), Vec::new(), String::new());
-        let mut request = Request { id, tasks, first, tries, state };
+        let (first_sent, attempts, state) = (Instant::now(), Vec::new(), String::new());
+        let mut request = Request { id, tasks, first_sent, attempts, state };
         let body = system::job(tasks).to_string();
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let url = format!("http://{}/board/{}", addresses[at], request.id);
             let (status, answer) = system::call(&agent, "POST", &url, body.as_bytes());
-            request.tries.push((status, Instant::now()));
+            request.attempts.push((status, Instant::now()));
             answer["State"].as_str().unwrap_or_default().clone_into(&mut request.state);
             if !matches!(status, 0 | 502 | 504) {
                 break;
             }
-            // The balancer sends the next try elsewhere.
+            // The platform's load balancer sends the next attempt to another entry.
             at = (at + 1) % addresses.len();
-            if view.is_over() {
+            if observed.is_stopped() {
                 break;
             }
-            thread::sleep(RESEND);
+            thread::sleep(RESEND_DELAY);
         }
-        view.requests.lock().unwrap().push(request);
+        observed.requests.lock().unwrap().push(request);
         thread::sleep(pause.mul_f64(rng.random_range(0.5..1.5)));
     }
 }
 
-/// The configuration of a version: its own route beside the one for jobs.
+/// The configuration of a version, with a route of its own in addition to the one for jobs. `mark`
+/// distinguishes configurations of the same version.
 pub fn config(version: u64, mark: u64) -> Value {
     let mut config = system::config(version);
     let own = system::route("own", &format!("/v{version}-{mark}/"));
@@ -110,91 +116,97 @@
     config
 }
 
-/// Hands a configuration in until it is acknowledged or refused, at one keeper after the other.
+/// Sends a configuration to random keepers until one acknowledges or refuses it.
 pub fn publish(
-    view: &Seen,
+    observed: &Observations,
     operators: &[std::net::SocketAddr],
     config: &Value,
     rng: &mut SmallRng,
 ) {
-    const PATIENCE: Duration = Duration::from_secs(20);
+    const TIMEOUT: Duration = Duration::from_secs(20);
     let version = config["Version"].as_u64().unwrap();
-    let position = {
-        let mut published = view.published.lock().unwrap();
+    let index = {
+        let mut published = observed.published.lock().unwrap();
         published.push((version, config.clone(), None));
         published.len() - 1
     };
     let (agent, body) = (system::agent(), config.to_string());
-    let until = Instant::now() + PATIENCE;
-    while Instant::now() < until && !view.is_over() {
+    let until = Instant::now() + TIMEOUT;
+    while Instant::now() < until && !observed.is_stopped() {
         let to = operators[rng.random_range(0..operators.len())];
         let url = format!("http://{to}/apricotroute/config");
         match system::call(&agent, "PUT", &url, body.as_bytes()).0 {
             200 => {
-                view.published.lock().unwrap()[position].2 = Some(Instant::now());
+                observed.published.lock().unwrap()[index].2 = Some(Instant::now());
                 return;
             }
-            // Another one holds this version.
+            // The keepers already have another configuration under this version.
             409 => return,
             0 | 503 => thread::sleep(Duration::from_millis(100)),
-            other => return view.fault(format!("version {version} was answered {other}")),
+            status => {
+                return observed
+                    .violation(format!("version {version} was answered with status {status}"));
+            }
         }
     }
 }
 
-/// Hands in what is invalid; it has to be refused by whoever understands it.
-pub fn publish_invalid(view: &Seen, to: std::net::SocketAddr) {
-    let version = view.next_version(1);
+/// Sends an invalid configuration; a keeper that answers in full has to refuse it.
+pub fn publish_invalid(observed: &Observations, to: std::net::SocketAddr) {
+    let version = observed.next_version(1);
     let mut config = config(version, 0);
     config["Routes"][0]["Service"] = json!("none");
     let url = format!("http://{to}/apricotroute/config");
     let body = config.to_string();
     let status = system::call(&system::agent(), "PUT", &url, body.as_bytes()).0;
     if !matches!(status, 0 | 400 | 503) {
-        view.fault(format!("an invalid configuration was answered {status}"));
+        observed.violation(format!("an invalid configuration was answered with status {status}"));
     }
 }
 
-/// An operator that reads at any keeper.
-pub fn reader(view: &Seen, seed: u64, operators: &[std::net::SocketAddr]) {
+/// Runs an operator that reads the configuration from random keepers.
+pub fn reader(observed: &Observations, seed: u64, operators: &[std::net::SocketAddr]) {
     const PAUSE: Duration = Duration::from_millis(150);
     let mut rng = SmallRng::seed_from_u64(seed);
-    while !view.is_over() {
+    while !observed.is_stopped() {
         let to = operators[rng.random_range(0..operators.len())];
         let sent = Instant::now();
         let (status, config) = system::get(&format!("http://{to}/apricotroute/config"));
         if status == 200 {
             let version = config["Version"].as_u64().unwrap_or(0);
-            view.reads.lock().unwrap().push((sent, version, config));
+            observed.reads.lock().unwrap().push((sent, version, config));
         }
         thread::sleep(PAUSE);
     }
 }
 
-/// Asks entries for the routes of all versions so far, and watches that none goes back within one
-/// life. `lives` says which life of its process an entry has; it is asked before and after.
+/// Requests the routes of the last four configurations from all entries, and checks that no entry
+/// returns to an older version while its process runs. `launch` gives the number of an entry's
+/// current process, or `None` while it is down; the prober calls it before and after each request.
 pub fn prober(
-    view: &Seen,
+    observed: &Observations,
     entries: &[(usize, std::net::SocketAddr)],
-    lives: &dyn Fn(usize) -> Option<u32>,
+    launch: &dyn Fn(usize) -> Option<u32>,
 ) {
     const PAUSE: Duration = Duration::from_millis(100);
-    let mut best = collections::BTreeMap::<(usize, u32), u64>::new();
-    while !view.is_over() {
+    let mut newest = collections::BTreeMap::<(usize, u32), u64>::new();
+    while !observed.is_stopped() {
         for (at, address) in entries {
-            let Some(life) = lives(*at) else { continue };
-            let published = view.published.lock().unwrap().clone();
+            let Some(current) = launch(*at) else { continue };
+            let published = observed.published.lock().unwrap().clone();
             for (version, config, _) in published.iter().rev().take(4) {
                 let prefix = config["Routes"][1]["PathPrefix"].as_str().unwrap();
                 let (status, _) = system::get(&format!("http://{address}{prefix}"));
-                if status != 200 || lives(*at) != Some(life) {
+                if status != 200 || launch(*at) != Some(current) {
                     continue;
                 }
-                let held = best.entry((*at, life)).or_default();
-                if *version < *held {
-                    view.fault(format!("entry {at} went back from version {held} to {version}"));
+                let known = newest.entry((*at, current)).or_default();
+                if *version < *known {
+                    observed.violation(format!(
+                        "entry {at} went back from version {known} to {version}"
+                    ));
                 }
-                *held = (*held).max(*version);
+                *known = (*known).max(*version);
             }
         }
         thread::sleep(PAUSE);
--- a/crates/apricotroute/tests/soak/plan.rs
+++ b/crates/apricotroute/tests/soak/plan.rs
@@ -1,82 +1,86 @@
-//! What happens in a soak, and when: everything follows from the seed.
+//! The faults of a soak run and their times, all derived from the seed.
 
 use std::time::Duration;
 
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
-/// Something that is done to the system. Positions are those of instances or upstreams.
+/// A fault or operator action to apply to the system. Numbers of type `usize` are indices of
+/// instances, upstreams or zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// SIGKILL, and a new process after this.
+    /// Kills an instance with SIGKILL and starts a new process after this time.
     Kill(usize, Duration),
-    /// SIGTERM, and a new process after the old one has ended.
+    /// Sends SIGTERM and starts a new process after the old one has ended.
     Term(usize),
-    /// SIGSTOP, and SIGCONT after this.
+    /// Sends SIGSTOP, and SIGCONT after this time.
     Freeze(usize, Duration),
-    /// SIGHUP, so many times.
+    /// Sends SIGHUP this many times.
     Hup(usize, u32),
-    /// All keepers at once are killed, and started again after this.
+    /// Kills all keepers at once and starts them again after this time.
     KillKeepers(Duration),
-    /// Everything is killed and started again.
+    /// Kills all instances and starts them again.
     KillAll,
-    /// A keeper is killed, its disk is empty when it starts again.
+    /// Kills a keeper and starts it again with an empty disk.
     Wipe(usize),
-    /// A keeper is killed in the middle of a write.
-    Tear(usize),
-    /// Nothing passes from one instance to another for this long.
-    CutOneWay(usize, usize, Duration),
-    /// An instance and all others do not reach each other.
-    CutOff(usize, Duration),
-    /// A zone's instances and all others do not reach each other.
-    CutZone(usize, Duration),
-    /// What an instance sends is late by the first time, for the second.
-    Slow(usize, Duration, Duration),
-    /// All streams of an instance are broken off.
+    /// Kills a keeper and leaves an unfinished write at the end of its log.
+    TornWrite(usize),
+    /// Blocks the traffic from one instance to another for this long.
+    BlockOneWay(usize, usize, Duration),
+    /// Blocks the traffic between an instance and all others, in both directions, for this long.
+    Isolate(usize, Duration),
+    /// Blocks the traffic between a zone's instances and all others, in both directions, for this
+    /// long.
+    IsolateZone(usize, Duration),
+    /// Delays all that an instance sends by the first duration, for the second duration.
+    Delay(usize, Duration, Duration),
+    /// Closes all current streams of an instance.
     Reset(usize),
-    /// All streams of an instance carry nothing any more; new ones work.
-    Silence(usize),
-    /// The time of day of an instance is off by this many milliseconds from its next start on,
-    /// which follows at once.
-    Clock(usize, i64),
-    /// An upstream crashes, and another life of it comes to its address.
+    /// Stops all traffic on the current streams of an instance for good; new ones work.
+    Blackhole(usize),
+    /// Restarts an instance at once, with a wall clock that is off by this many milliseconds.
+    ClockSkew(usize, i64),
+    /// Crashes an upstream; a new one replaces it at the same address.
     Crash(usize),
-    /// An upstream leaves, and another one comes.
+    /// Lets an upstream leave; a new one replaces it.
     Leave(usize),
-    /// An upstream's tasks fail for this long.
+    /// Makes the tasks of an upstream fail for this long.
     Fail(usize, Duration),
-    /// An upstream's tasks make no progress for this long.
+    /// Makes the tasks of an upstream hang for this long.
     Hang(usize, Duration),
-    /// An upstream answers no order for this long.
+    /// Makes an upstream leave all orders unanswered for this long.
     Mute(usize, Duration),
-    /// An upstream has room for one task only, for this long.
+    /// Reduces the capacity of an upstream to one task for this long.
     Shrink(usize, Duration),
-    /// A job comes to a zone whose task brings down each upstream that starts it.
+    /// Submits a job in a zone whose task crashes each upstream that starts it.
     Fatal(usize),
-    /// The operator hands in the next configuration.
+    /// The operator sends the next configuration.
     Publish,
-    /// Two operators hand in different configurations under one version.
+    /// Two operators send different configurations under the same version.
     Race,
-    /// The operator hands in one that is invalid.
+    /// An operator sends an invalid configuration.
     Invalid,
 }
 
 impl Fault {
-    /// How long it disturbs instances or the links between them; nothing if it does not.
-    pub fn disturbs(self) -> Option<Duration> {
-        // A process that starts again is there within this.
-        const START: Duration = Duration::from_secs(1);
-        // One that is told to end has done so after this.
-        const END: Duration = Duration::from_secs(7);
+    /// How long the fault disturbs instances or the connections between them; `None` if it does
+    /// not disturb them.
+    pub fn disturbance(self) -> Option<Duration> {
+        // A restarted process is connected within this time.
+        const START_TIME: Duration = Duration::from_secs(1);
+        // A process has ended this long after SIGTERM.
+        const STOP_TIME: Duration = Duration::from_secs(7);
         match self {
-            Self::Kill(_, time) | Self::KillKeepers(time) => Some(time + START),
-            Self::KillAll | Self::Wipe(_) | Self::Tear(_) | Self::Clock(..) => Some(START * 2),
-            Self::Term(_) => Some(END + START),
+            Self::Kill(_, time) | Self::KillKeepers(time) => Some(time + START_TIME),
+            Self::KillAll | Self::Wipe(_) | Self::TornWrite(_) | Self::ClockSkew(..) => {
+                Some(START_TIME * 2)
+            }
+            Self::Term(_) => Some(STOP_TIME + START_TIME),
             Self::Freeze(_, time)
-            | Self::CutOneWay(_, _, time)
-            | Self::CutOff(_, time)
-            | Self::CutZone(_, time)
-            | Self::Slow(_, _, time) => Some(time),
-            Self::Reset(_) | Self::Silence(_) => Some(START),
+            | Self::BlockOneWay(_, _, time)
+            | Self::Isolate(_, time)
+            | Self::IsolateZone(_, time)
+            | Self::Delay(_, _, time) => Some(time),
+            Self::Reset(_) | Self::Blackhole(_) => Some(START_TIME),
             Self::Hup(..)
             | Self::Crash(_)
             | Self::Leave(_)
@@ -92,55 +96,57 @@
     }
 }
 
-/// The size of a system.
+/// The size of a system; entries and upstreams are counted per zone.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub zones: usize,
-    /// Keepers of each zone; they come first among its instances.
+    /// The number of keepers in each zone; they have the lowest indices of its instances.
     pub keepers: usize,
     pub entries: usize,
     pub upstreams: usize,
 }
 
 impl Size {
-    /// Instances of a zone.
+    /// The number of instances in a zone.
     pub fn instances(self) -> usize {
         self.keepers + self.entries
     }
 }
 
-/// Seeds below this one play what they played when they failed once.
-const ALL_KINDS: u64 = 1_000;
-/// Numbers that such a seed draws its faults from.
-const FIRST_KINDS: u32 = 26;
-/// The same for others.
+/// Seeds below this one draw from fewer kinds of faults, so that they still give the plan with
+/// which they failed before.
+const FULL_SEED: u64 = 1_000;
+/// How many numbers a seed below [`FULL_SEED`] draws its faults from.
+const EARLY_KINDS: u32 = 26;
+/// How many numbers all other seeds draw their faults from.
 const KINDS: u32 = 29;
 
-/// The faults of one seed, in the order of their times from the start.
-pub fn plan(seed: u64, size: Size, span: Duration) -> Vec<(Duration, Fault)> {
+/// The faults of one seed, with their times from the start, in ascending order.
+pub fn plan(seed: u64, size: Size, duration: Duration) -> Vec<(Duration, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    // Now and then everything is calm for a while, else series overlap.
-    let pace = rng.random_range(300..1_500);
+    // Gaps of up to twice this many milliseconds leave the system undisturbed at times; otherwise
+    // successive faults overlap.
+    let mean_gap = rng.random_range(300..1_500);
     let mut at = 0;
     let mut plan = Vec::new();
-    let mut disks = 0;
-    let kinds = if seed < ALL_KINDS { FIRST_KINDS } else { KINDS };
-    while at < span.as_millis() as u64 {
-        let fault = fault(&mut rng, size, kinds, &mut disks);
+    let mut wiped = 0;
+    let kinds = if seed < FULL_SEED { EARLY_KINDS } else { KINDS };
+    while at < duration.as_millis() as u64 {
+        let fault = fault(&mut rng, size, kinds, &mut wiped);
         plan.push((Duration::from_millis(at), fault));
-        at += rng.random_range(0..2 * pace);
+        at += rng.random_range(0..2 * mean_gap);
     }
     plan
 }
 
-fn fault(rng: &mut SmallRng, size: Size, kinds: u32, disks: &mut u32) -> Fault {
+fn fault(rng: &mut SmallRng, size: Size, kinds: u32, wiped: &mut u32) -> Fault {
     let node = rng.random_range(0..size.zones * size.instances());
     let other = rng.random_range(0..size.zones * size.instances());
     let zone = rng.random_range(0..size.zones);
     let keeper = zone * size.instances() + rng.random_range(0..size.keepers);
     let upstream = rng.random_range(0..size.zones * size.upstreams);
     let time = Duration::from_millis(rng.random_range(100..4_000));
-    let late = Duration::from_millis(rng.random_range(5..120));
+    let latency = Duration::from_millis(rng.random_range(5..120));
     match rng.random_range(0..kinds) {
         0..=2 => Fault::Kill(node, time / 2),
         3 | 4 => Fault::Term(node),
@@ -148,20 +154,20 @@
         7 => Fault::Hup(node, rng.random_range(1..4)),
         8 => Fault::KillKeepers(time),
         9 => Fault::KillAll,
-        // One disk is lost at a time, and once: another may be lost when the first is repaired,
-        // which only the system knows.
-        10 if *disks == 0 => {
-            *disks += 1;
+        // A plan wipes only one disk: a second one may be lost only after the first is repaired,
+        // and only the system knows when that is.
+        10 if *wiped == 0 => {
+            *wiped += 1;
             Fault::Wipe(keeper)
         }
-        10 | 11 => Fault::Tear(keeper),
-        12 => Fault::CutOneWay(node, other, time),
-        13 => Fault::CutOff(node, time),
-        14 => Fault::CutZone(zone, time),
-        15 => Fault::Slow(node, late, time),
+        10 | 11 => Fault::TornWrite(keeper),
+        12 => Fault::BlockOneWay(node, other, time),
+        13 => Fault::Isolate(node, time),
+        14 => Fault::IsolateZone(zone, time),
+        15 => Fault::Delay(node, latency, time),
         16 => Fault::Reset(node),
-        17 => Fault::Silence(node),
-        18 => Fault::Clock(node, rng.random_range(-3_000..3_000)),
+        17 => Fault::Blackhole(node),
+        18 => Fault::ClockSkew(node, rng.random_range(-3_000..3_000)),
         19 => Fault::Crash(upstream),
         20 => Fault::Leave(upstream),
         21 => Fault::Fail(upstream, time),
--- a/crates/apricotroute/tests/soak/play.rs
+++ b/crates/apricotroute/tests/soak/play.rs
@@ -1,4 +1,4 @@
-//! Plays the plan of one seed on a system of real processes.
+//! Applies the plan of one seed to a system of real processes.
 
 use std::{
     fs,
@@ -13,75 +13,79 @@
 
 use super::{
     judge,
-    load::{self, Seen},
+    load::{self, Observations},
     plan::{self, Fault, Size},
 };
 use crate::system::{self, System, TASK_CPU, UPSTREAM_CPU, agent, call, job};
 
-/// A process that was told to end has done so after this: its grace of 6 s, and a busy machine.
-const GRACE: Duration = Duration::from_secs(8);
-/// Everything has found together again this long after the last fault: a disk is repaired, and
-/// those who were silent are heard.
-const SETTLE: Duration = Duration::from_secs(9);
-/// How long the system is watched when it has.
-const CALM: Duration = Duration::from_secs(3);
-/// Clients of each zone.
+/// A process has ended this long after SIGTERM: its grace period of 6 s and a margin for a busy
+/// machine.
+const STOP_LIMIT: Duration = Duration::from_secs(8);
+/// The system has recovered this long after the last fault: a wiped disk is repaired, and
+/// instances that had been silent are in contact again.
+const RECOVERY_TIME: Duration = Duration::from_secs(9);
+/// How long the test observes the recovered system.
+const OBSERVE_TIME: Duration = Duration::from_secs(3);
+/// Number of clients in each zone.
 const CLIENTS: usize = 4;
-/// Between two requests of one client.
-const PAUSE: Duration = Duration::from_millis(120);
+/// Mean pause between two requests of one client.
+const CLIENT_PAUSE: Duration = Duration::from_millis(120);
 
-/// Something that is due later because of a fault.
+/// A later step of a fault, such as its end.
 #[derive(Clone, Copy, Debug)]
-enum After {
+enum Step {
     Start(usize),
     Restart(usize, Instant),
     Continue(usize),
-    Join(usize, usize),
-    Fast(usize),
-    Sound(usize),
-    Grown(usize),
-    Reborn(usize),
-    Gone(usize),
+    Unblock(usize, usize),
+    EndDelay(usize),
+    ResetMood(usize),
+    RestoreRoom(usize),
+    Replace(usize),
+    EndLeave(usize),
 }
 
 struct Player {
     system: System,
     size: Size,
-    view: sync::Arc<Seen>,
+    observed: sync::Arc<Observations>,
     rng: SmallRng,
-    due: Vec<(Instant, After)>,
+    scheduled: Vec<(Instant, Step)>,
     threads: Vec<thread::JoinHandle<()>>,
-    lives: sync::Arc<sync::Mutex<Vec<Option<u32>>>>,
+    /// For each instance, the number of its current process; `None` while it is down.
+    launches: sync::Arc<sync::Mutex<Vec<Option<u32>>>>,
     operators: Vec<net::SocketAddr>,
-    /// For each place of an upstream, the position of its present life in the system, and the
-    /// number of lives before it.
+    /// For each upstream, the index of its current process in the system, and how many processes
+    /// it had before.
     upstreams: Vec<(usize, u32)>,
-    story: Vec<String>,
-    /// When instances and the links between them were disturbed, from and to.
+    /// The faults applied so far, with their times.
+    timeline: Vec<String>,
+    /// Start and end of each time in which instances or the connections between them were
+    /// disturbed.
     disturbed: Vec<(Instant, Instant)>,
     began: Instant,
 }
 
-/// Plays a seed.
+/// Runs the plan of a seed and checks the invariants.
 ///
 /// # Panics
 ///
-/// A promise is broken.
-pub fn play(net: u8, seed: u64, size: Size, span: Duration) {
+/// If an invariant is violated.
+pub fn play(net: u8, seed: u64, size: Size, duration: Duration) {
     let mut player = Player::new(net, seed, size);
     player.prepare();
-    player.people(seed);
+    player.start_load(seed);
     let start = Instant::now();
-    for (at, fault) in plan::plan(seed, size, span) {
+    for (at, fault) in plan::plan(seed, size, duration) {
         player.wait(start + at);
         player.apply(fault);
     }
-    player.wait(start + span);
+    player.wait(start + duration);
     player.heal();
-    let calm = Instant::now();
+    let recovered = Instant::now();
     player.apply(Fault::Leave(0));
-    player.wait(calm + CALM);
-    player.finish(seed, calm);
+    player.wait(recovered + OBSERVE_TIME);
+    player.finish(seed, recovered);
 }
 
 impl Player {
@@ -89,18 +93,18 @@
         let zones = vec![(size.keepers, size.entries); size.zones];
         let system = System::new(system::Plan { net, zones, relays: true });
         let operators = system.keepers().map(|at| system.operator(at)).collect();
-        let lives = system.nodes.iter().map(|node| Some(node.lives)).collect();
+        let launches = system.nodes.iter().map(|node| Some(node.launches)).collect();
         Self {
             system,
             size,
-            view: sync::Arc::default(),
+            observed: sync::Arc::default(),
             rng: SmallRng::seed_from_u64(seed ^ 0x50a6),
-            due: Vec::new(),
+            scheduled: Vec::new(),
             threads: Vec::new(),
-            lives: sync::Arc::new(sync::Mutex::new(lives)),
+            launches: sync::Arc::new(sync::Mutex::new(launches)),
             operators,
             upstreams: Vec::new(),
-            story: Vec::new(),
+            timeline: Vec::new(),
             disturbed: Vec::new(),
             began: Instant::now(),
         }
@@ -109,88 +113,91 @@
     fn prepare(&mut self) {
         for zone in 0..self.size.zones {
             for _ in 0..self.size.upstreams {
-                let place = self.upstreams.len();
-                self.upstreams.push((place, 0));
-                self.system.add_upstream(&format!("i-{place}-0"), zone, None);
+                let upstream = self.upstreams.len();
+                self.upstreams.push((upstream, 0));
+                self.system.add_upstream(&format!("i-{upstream}-0"), zone, None);
             }
         }
-        let first = load::config(self.view.next_version(1), 0);
-        load::publish(&self.view, &self.operators, &first, &mut self.rng);
+        let first = load::config(self.observed.next_version(1), 0);
+        load::publish(&self.observed, &self.operators, &first, &mut self.rng);
         self.system.wait_ready();
     }
 
-    /// Starts clients, readers and probers.
-    fn people(&mut self, seed: u64) {
+    /// Starts the clients, the reader and the prober.
+    fn start_load(&mut self, seed: u64) {
         for zone in 0..self.size.zones {
             let in_zone = |at: &usize| self.system.nodes[*at].zone == zone;
             let entries = self.system.entries().filter(in_zone);
             let entries: Vec<_> = entries.map(|at| self.system.client(at)).collect();
             for number in 0..CLIENTS {
-                let (view, entries) = (sync::Arc::clone(&self.view), entries.clone());
+                let (observed, entries) = (sync::Arc::clone(&self.observed), entries.clone());
                 let seed = seed * 1_000 + (zone * CLIENTS + number) as u64;
-                let client = move || load::client(&view, seed, &entries, PAUSE);
+                let client = move || load::client(&observed, seed, &entries, CLIENT_PAUSE);
                 self.threads.push(thread::spawn(client));
             }
         }
-        let (view, operators) = (sync::Arc::clone(&self.view), self.operators.clone());
-        self.threads.push(thread::spawn(move || load::reader(&view, seed, &operators)));
+        let (observed, operators) = (sync::Arc::clone(&self.observed), self.operators.clone());
+        self.threads.push(thread::spawn(move || load::reader(&observed, seed, &operators)));
         let entries = self.system.entries().map(|at| (at, self.system.client(at)));
         let entries: Vec<_> = entries.collect();
-        let (view, lives) = (sync::Arc::clone(&self.view), sync::Arc::clone(&self.lives));
+        let (observed, launches) =
+            (sync::Arc::clone(&self.observed), sync::Arc::clone(&self.launches));
         self.threads.push(thread::spawn(move || {
-            load::prober(&view, &entries, &|at| lives.lock().unwrap()[at]);
+            load::prober(&observed, &entries, &|at| launches.lock().unwrap()[at]);
         }));
     }
 
-    fn tell(&mut self, text: &str) {
-        self.story.push(format!("{:>6} ms {text}", self.began.elapsed().as_millis()));
+    fn record(&mut self, text: &str) {
+        self.timeline.push(format!("{:>6} ms {text}", self.began.elapsed().as_millis()));
     }
 
-    /// Waits, and does what falls due meanwhile.
+    /// Waits until a given time, and runs the scheduled steps that become due meanwhile.
     fn wait(&mut self, until: Instant) {
-        const STEP: Duration = Duration::from_millis(10);
+        const INTERVAL: Duration = Duration::from_millis(10);
         loop {
             let now = Instant::now();
-            let (due, later) = self.due.drain(..).partition(|(at, _)| *at <= now);
-            self.due = later;
-            for (_, after) in Vec::from_iter::<Vec<(Instant, After)>>(due) {
-                self.after(after);
+            let (due, later) = self.scheduled.drain(..).partition(|(at, _)| *at <= now);
+            self.scheduled = later;
+            for (_, step) in Vec::from_iter::<Vec<(Instant, Step)>>(due) {
+                self.run_step(step);
             }
-            self.watch();
-            self.bury();
+            self.check_exits();
+            self.replace_crashed();
             if now >= until {
                 return;
             }
-            thread::sleep(STEP);
+            thread::sleep(INTERVAL);
         }
     }
 
-    /// No process ends by itself.
-    fn watch(&mut self) {
+    /// Reports and restarts instances whose process ended unexpectedly.
+    fn check_exits(&mut self) {
         for at in 0..self.system.nodes.len() {
-            let leaving =
-                |(_, after): &(Instant, After)| matches!(after, After::Restart(a, _) if *a == at);
-            let told = self.due.iter().any(leaving);
+            let stopping =
+                |(_, step): &(Instant, Step)| matches!(step, Step::Restart(a, _) if *a == at);
+            let expected = self.scheduled.iter().any(stopping);
             let Some(child) = &mut self.system.nodes[at].child else { continue };
-            if !told && let Ok(Some(status)) = child.try_wait() {
-                self.view.fault(format!("instance {at} ended by itself: {status}"));
+            if !expected && let Ok(Some(status)) = child.try_wait() {
+                self.observed.violation(format!(
+                    "the process of instance {at} ended unexpectedly: {status}"
+                ));
                 self.system.nodes[at].child = None;
-                self.due.push((Instant::now(), After::Start(at)));
+                self.scheduled.push((Instant::now(), Step::Start(at)));
             }
         }
     }
 
-    /// Upstreams that a task has brought down come back as another life.
-    fn bury(&mut self) {
-        for place in 0..self.upstreams.len() {
-            let (at, _) = self.upstreams[place];
+    /// Replaces the upstreams that a task has crashed.
+    fn replace_crashed(&mut self) {
+        for upstream in 0..self.upstreams.len() {
+            let (at, _) = self.upstreams[upstream];
             if self.system.upstreams[at].is_gone() {
-                self.crash(place, Duration::from_millis(400));
+                self.crash(upstream, Duration::from_millis(400));
             }
         }
     }
 
-    /// A client hands in a job whose task brings upstreams down. What it is told is not judged.
+    /// Submits a job whose task crashes upstreams; the test does not check the answer.
     fn submit_fatal(&mut self, zone: usize) {
         let entries = self.system.entries().filter(|at| self.system.nodes[*at].zone == zone);
         let entries: Vec<_> = entries.collect();
@@ -200,22 +207,22 @@
         let mut job = job(1);
         job["Spec"] = json!(standin::FATAL);
         self.threads.push(thread::spawn(move || {
-            let _told = call(&agent(), "POST", &url, job.to_string().as_bytes());
+            let _answer = call(&agent(), "POST", &url, job.to_string().as_bytes());
         }));
     }
 
-    /// Whether an instance runs, is not stopped and was not told to end.
+    /// Whether an instance runs, is not suspended and has received no SIGTERM.
     fn is_up(&self, at: usize) -> bool {
-        let busy = |(_, after): &(Instant, After)| match after {
-            After::Start(other) | After::Restart(other, _) | After::Continue(other) => *other == at,
+        let pending = |(_, step): &(Instant, Step)| match step {
+            Step::Start(other) | Step::Restart(other, _) | Step::Continue(other) => *other == at,
             _ => false,
         };
-        self.system.nodes[at].child.is_some() && !self.due.iter().any(busy)
+        self.system.nodes[at].child.is_some() && !self.scheduled.iter().any(pending)
     }
 
     fn start(&mut self, at: usize) {
         self.system.start(at);
-        self.lives.lock().unwrap()[at] = Some(self.system.nodes[at].lives);
+        self.launches.lock().unwrap()[at] = Some(self.system.nodes[at].launches);
     }
 
     fn kill_each(&mut self, all: &[usize], down: Duration) {
@@ -224,21 +231,21 @@
         }
     }
 
-    /// Kills an instance for a while; false if it is not up.
+    /// Kills an instance and schedules its restart after `down`; returns false if it is not up.
     fn kill(&mut self, at: usize, down: Duration) -> bool {
         if !self.is_up(at) {
             return false;
         }
-        self.lives.lock().unwrap()[at] = None;
+        self.launches.lock().unwrap()[at] = None;
         self.system.kill(at);
-        self.system.write(at, false, &json!({}));
-        self.due.push((Instant::now() + down, After::Start(at)));
+        self.system.write_settings(at, false, &json!({}));
+        self.scheduled.push((Instant::now() + down, Step::Start(at)));
         true
     }
 
     fn apply(&mut self, fault: Fault) {
-        self.tell(&format!("{fault:?}"));
-        if let Some(time) = fault.disturbs() {
+        self.record(&format!("{fault:?}"));
+        if let Some(time) = fault.disturbance() {
             let now = Instant::now();
             self.disturbed.push((now, now + time));
         }
@@ -252,11 +259,12 @@
             Fault::KillAll => self.kill_each(&all, Duration::from_millis(200)),
             Fault::Term(at) if self.is_up(at) => {
                 self.system.signal(at, "-TERM");
-                self.due.push((Instant::now(), After::Restart(at, Instant::now() + GRACE)));
+                self.scheduled
+                    .push((Instant::now(), Step::Restart(at, Instant::now() + STOP_LIMIT)));
             }
             Fault::Freeze(at, time) if self.is_up(at) => {
                 self.system.signal(at, "-STOP");
-                self.due.push((Instant::now() + time, After::Continue(at)));
+                self.scheduled.push((Instant::now() + time, Step::Continue(at)));
             }
             Fault::Hup(at, times) if self.is_up(at) => {
                 for _ in 0..times {
@@ -266,117 +274,120 @@
             Fault::Term(_) | Fault::Freeze(..) | Fault::Hup(..) => {}
             Fault::Wipe(at) => {
                 if self.kill(at, Duration::from_millis(500)) {
-                    fs::remove_dir_all(self.system.data(at)).unwrap();
+                    fs::remove_dir_all(self.system.data_folder(at)).unwrap();
                 }
             }
-            Fault::Tear(at) => {
+            Fault::TornWrite(at) => {
                 if self.kill(at, Duration::from_millis(300)) {
-                    self.tear(at);
+                    self.tear_log(at);
                 }
             }
-            Fault::Clock(at, offset) => {
+            Fault::ClockSkew(at, offset) => {
                 if self.kill(at, Duration::from_millis(100)) {
-                    self.system.write(at, false, &json!({"clock_offset_ms": offset}));
+                    self.system.write_settings(at, false, &json!({"clock_offset_ms": offset}));
                 }
             }
-            Fault::CutOneWay(from, to, time) => self.cut(&[from], &[to], time),
-            Fault::CutOff(at, time) => self.apart(&[at], time),
-            Fault::CutZone(zone, time) => {
+            Fault::BlockOneWay(from, to, time) => self.block(&[from], &[to], time),
+            Fault::Isolate(at, time) => self.isolate(&[at], time),
+            Fault::IsolateZone(zone, time) => {
                 let inside: Vec<_> =
                     all.into_iter().filter(|at| self.system.nodes[*at].zone == zone).collect();
-                self.apart(&inside, time);
+                self.isolate(&inside, time);
             }
-            Fault::Slow(at, late, time) => {
+            Fault::Delay(at, latency, time) => {
                 for to in all {
-                    self.system.faults.delay(at, to, late);
+                    self.system.faults.delay(at, to, latency);
                 }
-                self.due.push((Instant::now() + time, After::Fast(at)));
+                self.scheduled.push((Instant::now() + time, Step::EndDelay(at)));
             }
             Fault::Reset(at) => self.system.faults.reset(at),
-            Fault::Silence(at) => self.system.faults.silence(at),
-            Fault::Crash(place) => self.crash(place, Duration::from_millis(400)),
-            Fault::Leave(place) => {
-                let (at, _) = self.upstreams[place];
+            Fault::Blackhole(at) => self.system.faults.blackhole(at),
+            Fault::Crash(upstream) => self.crash(upstream, Duration::from_millis(400)),
+            Fault::Leave(upstream) => {
+                let (at, _) = self.upstreams[upstream];
                 self.system.upstreams[at].leave();
-                self.due.push((Instant::now() + Duration::from_secs(3), After::Gone(place)));
+                self.scheduled
+                    .push((Instant::now() + Duration::from_secs(3), Step::EndLeave(upstream)));
             }
-            Fault::Fail(place, time) => self.mood(place, standin::Mood::Failing, time),
-            Fault::Hang(place, time) => self.mood(place, standin::Mood::Hanging, time),
-            Fault::Mute(place, time) => self.mood(place, standin::Mood::Mute, time),
-            Fault::Shrink(place, time) => {
-                let (at, _) = self.upstreams[place];
+            Fault::Fail(upstream, time) => self.set_mood(upstream, standin::Mood::Failing, time),
+            Fault::Hang(upstream, time) => self.set_mood(upstream, standin::Mood::Hanging, time),
+            Fault::Mute(upstream, time) => self.set_mood(upstream, standin::Mood::Mute, time),
+            Fault::Shrink(upstream, time) => {
+                let (at, _) = self.upstreams[upstream];
                 self.system.upstreams[at].set_room(TASK_CPU);
-                self.due.push((Instant::now() + time, After::Grown(place)));
+                self.scheduled.push((Instant::now() + time, Step::RestoreRoom(upstream)));
             }
             Fault::Fatal(zone) => self.submit_fatal(zone),
             Fault::Publish => self.publish(1),
             Fault::Race => self.publish(2),
             Fault::Invalid => {
                 let to = self.operators[self.rng.random_range(0..self.operators.len())];
-                let view = sync::Arc::clone(&self.view);
-                self.threads.push(thread::spawn(move || load::publish_invalid(&view, to)));
+                let observed = sync::Arc::clone(&self.observed);
+                self.threads.push(thread::spawn(move || load::publish_invalid(&observed, to)));
             }
         }
     }
 
-    fn after(&mut self, after: After) {
-        match after {
-            After::Start(at) => self.start(at),
-            After::Restart(at, until) => self.restart(at, until),
-            After::Continue(at) => self.system.signal(at, "-CONT"),
-            After::Join(from, to) => self.system.faults.cut(from, to, false),
-            After::Fast(at) => {
+    fn run_step(&mut self, step: Step) {
+        match step {
+            Step::Start(at) => self.start(at),
+            Step::Restart(at, until) => self.restart(at, until),
+            Step::Continue(at) => self.system.signal(at, "-CONT"),
+            Step::Unblock(from, to) => self.system.faults.block(from, to, false),
+            Step::EndDelay(at) => {
                 for to in 0..self.system.nodes.len() {
                     self.system.faults.delay(at, to, Duration::ZERO);
                 }
             }
-            After::Sound(place) => {
-                let (at, _) = self.upstreams[place];
+            Step::ResetMood(upstream) => {
+                let (at, _) = self.upstreams[upstream];
                 self.system.upstreams[at].set_mood(standin::Mood::Sound);
             }
-            After::Grown(place) => {
-                let (at, _) = self.upstreams[place];
+            Step::RestoreRoom(upstream) => {
+                let (at, _) = self.upstreams[upstream];
                 self.system.upstreams[at].set_room(UPSTREAM_CPU);
             }
-            After::Gone(place) => self.crash(place, Duration::from_millis(400)),
-            After::Reborn(place) => {
-                let (at, lives) = self.upstreams[place];
+            Step::EndLeave(upstream) => self.crash(upstream, Duration::from_millis(400)),
+            Step::Replace(upstream) => {
+                let (at, earlier) = self.upstreams[upstream];
                 let address = self.system.upstreams[at].address();
-                self.upstreams[place] = (self.system.upstreams.len(), lives + 1);
-                let zone = place / self.size.upstreams;
-                let id = format!("i-{place}-{}", lives + 1);
+                self.upstreams[upstream] = (self.system.upstreams.len(), earlier + 1);
+                let zone = upstream / self.size.upstreams;
+                let id = format!("i-{upstream}-{}", earlier + 1);
                 self.system.add_upstream(&id, zone, Some(address));
             }
         }
     }
 
-    /// Starts an instance again that was told to end, once it has.
+    /// Starts an instance again once its process has ended after SIGTERM.
     fn restart(&mut self, at: usize, until: Instant) {
         let child = self.system.nodes[at].child.as_mut().unwrap();
         match child.try_wait().unwrap() {
             Some(status) => {
                 if !status.success() {
-                    self.view.fault(format!("instance {at} was told to end, and did so: {status}"));
+                    self.observed
+                        .violation(format!("instance {at} ended after SIGTERM with {status}"));
                 }
-                self.lives.lock().unwrap()[at] = None;
-                self.system.write(at, false, &json!({}));
+                self.launches.lock().unwrap()[at] = None;
+                self.system.write_settings(at, false, &json!({}));
                 self.start(at);
             }
             None if Instant::now() > until => {
-                self.view.fault(format!("instance {at} does not end"));
+                self.observed.violation(format!("instance {at} did not end in time after SIGTERM"));
                 self.system.kill(at);
                 self.start(at);
             }
             None => {
                 let next = Instant::now() + Duration::from_millis(20);
-                self.due.push((next, After::Restart(at, until)));
+                self.scheduled.push((next, Step::Restart(at, until)));
             }
         }
     }
 
-    /// An unfinished write at the end of the newest file of a keeper's log.
-    fn tear(&mut self, at: usize) {
-        let files = fs::read_dir(self.system.data(at)).unwrap().map(|entry| entry.unwrap().path());
+    /// Appends random bytes to the newest file of a keeper's log, as after an unfinished write.
+    fn tear_log(&mut self, at: usize) {
+        let files =
+            fs::read_dir(self.system.data_folder(at)).unwrap().map(|entry| entry.unwrap().path());
         let logs = files.filter(|path| path.extension().is_some_and(|end| end == "log"));
         let Some(newest) = logs.max() else { return };
         let mut file = fs::OpenOptions::new().append(true).open(newest).unwrap();
@@ -384,93 +395,101 @@
         file.write_all(&bytes).unwrap();
     }
 
-    fn apart(&mut self, inside: &[usize], time: Duration) {
+    fn isolate(&mut self, inside: &[usize], time: Duration) {
         let all = 0..self.system.nodes.len();
         let outside: Vec<_> = all.filter(|at| !inside.contains(at)).collect();
-        self.cut(inside, &outside, time);
-        self.cut(&outside, inside, time);
+        self.block(inside, &outside, time);
+        self.block(&outside, inside, time);
     }
 
-    fn cut(&mut self, from: &[usize], to: &[usize], time: Duration) {
+    fn block(&mut self, from: &[usize], to: &[usize], time: Duration) {
         for a in from {
             for b in to.iter().filter(|b| *b != a) {
-                self.system.faults.cut(*a, *b, true);
-                self.due.push((Instant::now() + time, After::Join(*a, *b)));
+                self.system.faults.block(*a, *b, true);
+                self.scheduled.push((Instant::now() + time, Step::Unblock(*a, *b)));
             }
         }
     }
 
-    fn crash(&mut self, place: usize, down: Duration) {
-        let reborn =
-            |(_, after): &(Instant, After)| matches!(after, After::Reborn(p) if *p == place);
-        if self.due.iter().any(reborn) {
+    fn crash(&mut self, upstream: usize, down: Duration) {
+        let replaced =
+            |(_, step): &(Instant, Step)| matches!(step, Step::Replace(p) if *p == upstream);
+        if self.scheduled.iter().any(replaced) {
             return;
         }
-        let (at, _) = self.upstreams[place];
+        let (at, _) = self.upstreams[upstream];
         self.system.upstreams[at].crash();
-        self.due.push((Instant::now() + down, After::Reborn(place)));
+        self.scheduled.push((Instant::now() + down, Step::Replace(upstream)));
     }
 
-    fn mood(&mut self, place: usize, mood: standin::Mood, time: Duration) {
-        let (at, _) = self.upstreams[place];
+    fn set_mood(&mut self, upstream: usize, mood: standin::Mood, time: Duration) {
+        let (at, _) = self.upstreams[upstream];
         self.system.upstreams[at].set_mood(mood);
-        self.due.push((Instant::now() + time, After::Sound(place)));
+        self.scheduled.push((Instant::now() + time, Step::ResetMood(upstream)));
     }
 
-    /// So many operators hand in configurations under the next version.
+    /// Lets this many operators send different configurations under the next version.
     fn publish(&mut self, operators: u64) {
-        let version = self.view.next_version(self.rng.random_range(1..5));
+        let version = self.observed.next_version(self.rng.random_range(1..5));
         for mark in 0..operators {
-            let (view, to) = (sync::Arc::clone(&self.view), self.operators.clone());
+            let (observed, to) = (sync::Arc::clone(&self.observed), self.operators.clone());
             let mut rng = SmallRng::seed_from_u64(self.rng.random());
             let config = load::config(version, mark);
-            self.threads.push(thread::spawn(move || load::publish(&view, &to, &config, &mut rng)));
+            self.threads
+                .push(thread::spawn(move || load::publish(&observed, &to, &config, &mut rng)));
         }
     }
 
-    /// Ends all faults and lets the system find together.
+    /// Ends all faults and waits until the system has recovered.
     fn heal(&mut self) {
-        while !self.due.is_empty() {
-            let next = self.due.iter().map(|(at, _)| *at).min().unwrap_or_else(Instant::now);
+        while !self.scheduled.is_empty() {
+            let next = self.scheduled.iter().map(|(at, _)| *at).min().unwrap_or_else(Instant::now);
             self.wait(next);
         }
         self.system.faults.heal();
-        self.tell("everything is healed");
+        self.record("all faults have ended");
         self.publish(1);
-        self.wait(Instant::now() + SETTLE);
+        self.wait(Instant::now() + RECOVERY_TIME);
     }
 
-    fn finish(mut self, seed: u64, calm: Instant) {
-        let newest = self.view.acknowledged(Instant::now());
+    fn finish(mut self, seed: u64, recovered: Instant) {
+        let newest = self.observed.acknowledged(Instant::now());
         for at in self.system.keepers().collect::<Vec<_>>() {
-            let (status, config) = self.system.read(at);
+            let (status, config) = self.system.read_config(at);
             if status != 200 || config["Version"].as_u64() < Some(newest) {
-                self.view.fault(format!("keeper {at} answers {status} {config}, not {newest}"));
+                self.observed.violation(format!(
+                    "keeper {at} answered {status} {config}, expected version {newest} or later"
+                ));
             }
         }
-        self.view.ended.store(true, sync::atomic::Ordering::SeqCst);
+        self.observed.stopped.store(true, sync::atomic::Ordering::SeqCst);
         for thread in self.threads.drain(..) {
             thread.join().unwrap();
         }
-        let past: Vec<_> = self.system.upstreams.iter().map(standin::Standin::past).collect();
+        let runs: Vec<_> = self.system.upstreams.iter().map(standin::Standin::past).collect();
         for (at, upstream) in self.system.upstreams.iter().enumerate() {
-            if let Some(told) = upstream.told() {
+            if let Some(leave) = upstream.told() {
                 let id = format!("upstream {at}");
-                judge::drained(&self.view, &id, told, &past[at], &self.disturbed);
+                judge::check_drained(&self.observed, &id, leave, &runs[at], &self.disturbed);
             }
         }
-        let runs = judge::sort(past.into_iter().flatten());
-        judge::runs(&self.view, &runs);
-        judge::answers(&self.view, &runs);
-        judge::reads(&self.view);
-        let requests = self.view.requests.lock().unwrap().clone();
-        let (good, all) = judge::complete(&requests, calm);
-        if good * 100 < all * 95 || all == 0 {
-            self.view.fault(format!("{good} of {all} requests were complete when all was calm"));
+        let runs = judge::group_runs(runs.into_iter().flatten());
+        judge::check_runs(&self.observed, &runs);
+        judge::check_answers(&self.observed, &runs);
+        judge::check_reads(&self.observed);
+        let requests = self.observed.requests.lock().unwrap().clone();
+        let (complete, all) = judge::count_complete(&requests, recovered);
+        if complete * 100 < all * 95 || all == 0 {
+            self.observed.violation(format!(
+                "{complete} of {all} requests were complete after the recovery"
+            ));
         }
-        let faults = self.view.faults.lock().unwrap().clone();
-        if faults.is_empty() {
-            eprintln!("seed {seed}: {} requests, {good} of {all} in calm complete", requests.len());
+        let violations = self.observed.violations.lock().unwrap().clone();
+        if violations.is_empty() {
+            eprintln!(
+                "seed {seed}: {} requests, {complete} of {all} complete after the recovery",
+                requests.len()
+            );
             return;
         }
         let kept = self.system.folder.path().with_extension(format!("soak-{seed}"));
@@ -478,8 +497,8 @@
         panic!(
             "seed {seed}, logs in {} ({copied:?}):\n{}\n{}",
             kept.display(),
-            self.story.join("\n"),
-            faults.join("\n")
+            self.timeline.join("\n"),
+            violations.join("\n")
         );
     }
 }
--- a/crates/apricotroute/tests/system/mod.rs
+++ b/crates/apricotroute/tests/system/mod.rs
@@ -1,6 +1,7 @@
-//! A system of real processes on the platform's calls: keepers, entries and stand-in upstreams,
-//! each with a loopback address of its own. Between the instances stand relays, if asked for.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Starts a system of real processes that serves the platform's calls: keepers, entries and
+//! stand-in upstreams, each with its own loopback address. A [`Plan`] may place relays between the
+//! instances.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod relay;
 
@@ -11,13 +12,13 @@
 
 use serde_json::{Value, json};
 
-/// Host of all routes.
+/// Host header of all routes.
 pub const HOST: &str = "shop.example";
 /// The service of all routes.
 pub const SERVICE: &str = "board";
-/// What each task takes, thousandths of a core.
+/// CPU that each task uses, in thousandths of a core.
 pub const TASK_CPU: u64 = 14_000;
-/// What each upstream has: two tasks fit.
+/// CPU of each upstream, in thousandths of a core, which is enough for two tasks.
 pub const UPSTREAM_CPU: u64 = 32_000;
 
 const CLIENT: u16 = 7101;
@@ -25,17 +26,17 @@
 const OPERATOR: u16 = 7103;
 const METRICS: u16 = 9464;
 const PEER: u16 = 7301;
-/// Where an instance listens for others while a relay has its [`PEER`] address.
-const BEHIND: u16 = 7401;
+/// The port on which an instance listens for its peers while a relay listens on its [`PEER`] port.
+const RELAYED_PEER: u16 = 7401;
 
-/// What a system is made of.
+/// The layout of a system.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Tells the systems of one test run apart: the third byte of all addresses.
+    /// The third byte of all addresses, which keeps the systems of one test run apart.
     pub net: u8,
-    /// Keepers and entries of each availability zone.
+    /// The numbers of keepers and entries in each availability zone.
     pub zones: Vec<(usize, usize)>,
-    /// Whether relays stand between the instances.
+    /// Whether the instances reach each other through relays.
     pub relays: bool,
 }
 
@@ -45,11 +46,11 @@
     pub zone: usize,
     pub keeper: bool,
     pub child: Option<process::Child>,
-    /// Processes that were started in this place.
-    pub lives: u32,
+    /// The number of processes started for this instance so far.
+    pub launches: u32,
 }
 
-/// A system that runs.
+/// A running system.
 #[derive(Debug)]
 pub struct System {
     pub folder: tempfile::TempDir,
@@ -58,28 +59,28 @@
     pub upstreams: Vec<platform::standin::Standin>,
     pub faults: sync::Arc<relay::Faults>,
     plan: Plan,
-    block: Block,
+    block: AddressBlock,
 }
 
-/// The second byte of all addresses of a system: no other system that runs on this machine has the
-/// same with the same net.
+/// The second byte of all addresses of a system. No other system that runs on this machine with
+/// the same `net` has the same byte.
 #[derive(Debug)]
-struct Block {
+struct AddressBlock {
     byte: u8,
-    _held: net::TcpListener,
+    _listener: net::TcpListener,
 }
 
-impl Block {
-    /// Takes a block that is free, by listening in it where no instance does.
-    fn take(net: u8) -> Self {
+impl AddressBlock {
+    /// Reserves a free block by listening on an address in it that no instance uses.
+    fn reserve(net: u8) -> Self {
         const BYTES: std::ops::Range<u8> = 64..128;
         const PORT: u16 = 7100;
-        let take = |byte| {
+        let reserve = |byte| {
             let at = net::SocketAddr::from(([127, byte, net, 255], PORT));
-            let held = net::TcpListener::bind(at).ok()?;
-            Some(Self { byte, _held: held })
+            let listener = net::TcpListener::bind(at).ok()?;
+            Some(Self { byte, _listener: listener })
         };
-        BYTES.into_iter().find_map(take).expect("a free block of addresses")
+        BYTES.into_iter().find_map(reserve).expect("a free block of addresses")
     }
 }
 
@@ -94,17 +95,17 @@
         let mut nodes = Vec::new();
         for (zone, (keepers, entries)) in plan.zones.iter().enumerate() {
             for at in 0..keepers + entries {
-                nodes.push(Node { zone, keeper: at < *keepers, child: None, lives: 0 });
+                nodes.push(Node { zone, keeper: at < *keepers, child: None, launches: 0 });
             }
         }
         let folder = tempfile::tempdir().unwrap();
         let faults = sync::Arc::default();
-        let (upstreams, block) = (Vec::new(), Block::take(plan.net));
+        let (upstreams, block) = (Vec::new(), AddressBlock::reserve(plan.net));
         let mut system = Self { folder, nodes, runtime, upstreams, faults, plan, block };
         for at in 0..system.nodes.len() {
-            system.write(at, true, &json!({}));
+            system.write_settings(at, true, &json!({}));
             if system.plan.relays {
-                system.relay(at);
+                system.start_relay(at);
             }
         }
         for at in 0..system.nodes.len() {
@@ -113,14 +114,18 @@
         system
     }
 
-    fn relay(&self, at: usize) {
-        let (near, far) = (self.address(at, PEER), self.address(at, BEHIND));
-        let names = (0..self.nodes.len()).map(|at| self.address(at, PEER).to_string()).collect();
+    fn start_relay(&self, at: usize) {
+        let (near, address) = (self.address(at, PEER), self.address(at, RELAYED_PEER));
+        let peers = (0..self.nodes.len()).map(|at| self.address(at, PEER).to_string()).collect();
         let faults = sync::Arc::clone(&self.faults);
-        relay::Relay::open(&self.runtime, near, relay::Way { far, to: at, names, faults });
+        relay::Relay::open(
+            &self.runtime,
+            near,
+            relay::Target { address, index: at, peers, faults },
+        );
     }
 
-    /// Adds an upstream, or another life of one at the same address.
+    /// Adds an upstream; with an `address`, it replaces an earlier upstream at that address.
     pub fn add_upstream(&mut self, id: &str, zone: usize, address: Option<net::SocketAddr>) {
         let options = platform::standin::Options {
             id: id.to_owned(),
@@ -137,22 +142,22 @@
         self.upstreams.push(upstream);
     }
 
-    /// Positions of the keepers.
+    /// The indices of the keepers.
     pub fn keepers(&self) -> impl Iterator<Item = usize> {
         self.nodes.iter().enumerate().filter(|(_, node)| node.keeper).map(|(at, _)| at)
     }
 
-    /// Positions of the entries.
+    /// The indices of the entries.
     pub fn entries(&self) -> impl Iterator<Item = usize> {
         self.nodes.iter().enumerate().filter(|(_, node)| !node.keeper).map(|(at, _)| at)
     }
 
-    /// Where clients reach an entry.
+    /// The address of an entry for clients.
     pub fn client(&self, at: usize) -> net::SocketAddr {
         self.address(at, CLIENT)
     }
 
-    /// Where operators and upstreams reach a keeper.
+    /// The address of a keeper for operators and upstreams.
     pub fn operator(&self, at: usize) -> net::SocketAddr {
         self.address(at, OPERATOR)
     }
@@ -161,20 +166,20 @@
         net::SocketAddr::from(([127, self.block.byte, self.plan.net, at as u8 + 1], port))
     }
 
-    /// The bootstrap file of an instance.
-    pub fn file(&self, at: usize) -> path::PathBuf {
+    /// The path of the bootstrap file of an instance.
+    pub fn settings_file(&self, at: usize) -> path::PathBuf {
         self.folder.path().join(format!("{at}.json"))
     }
 
-    /// Its data folder.
-    pub fn data(&self, at: usize) -> path::PathBuf {
+    /// The data folder of an instance.
+    pub fn data_folder(&self, at: usize) -> path::PathBuf {
         self.folder.path().join(format!("{at}.data"))
     }
 
-    /// Writes the bootstrap file of an instance, with further keys.
-    pub fn write(&self, at: usize, first: bool, extra: &Value) {
+    /// Writes the bootstrap file of an instance; the keys of `extra` add to or replace the others.
+    pub fn write_settings(&self, at: usize, first: bool, extra: &Value) {
         let seeds: Vec<_> = self.keepers().take(3).map(|at| self.operator(at)).collect();
-        let mut file = json!({
+        let mut settings = json!({
             "instance": format!("node-{at}"),
             "availability_zone": zone_name(self.nodes[at].zone),
             "peer_address": self.address(at, PEER),
@@ -183,20 +188,20 @@
             "first_start": first,
         });
         if self.plan.relays {
-            file["peer_listen"] = json!(self.address(at, BEHIND));
+            settings["peer_listen"] = json!(self.address(at, RELAYED_PEER));
         }
         if self.nodes[at].keeper {
-            file["role"] = "keeper".into();
-            file["operator_address"] = json!(self.operator(at));
-            file["data_folder"] = json!(self.data(at));
+            settings["role"] = "keeper".into();
+            settings["operator_address"] = json!(self.operator(at));
+            settings["data_folder"] = json!(self.data_folder(at));
         } else {
-            file["role"] = "entry".into();
-            file["client_address"] = json!(self.client(at));
-            file["ready_address"] = json!(self.address(at, READY));
+            settings["role"] = "entry".into();
+            settings["client_address"] = json!(self.client(at));
+            settings["ready_address"] = json!(self.address(at, READY));
         }
-        let map = file.as_object_mut().unwrap();
+        let map = settings.as_object_mut().unwrap();
         map.extend(extra.as_object().cloned().unwrap_or_default());
-        fs::write(self.file(at), file.to_string()).unwrap();
+        fs::write(self.settings_file(at), settings.to_string()).unwrap();
     }
 
     /// Starts the process of an instance.
@@ -205,25 +210,25 @@
         let log = fs::OpenOptions::new().append(true).create(true).open(log).unwrap();
         let child = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
             .args(["node", "--settings"])
-            .arg(self.file(at))
+            .arg(self.settings_file(at))
             .stdout(log.try_clone().unwrap())
             .stderr(log)
             .spawn()
             .unwrap();
         self.nodes[at].child = Some(child);
-        self.nodes[at].lives += 1;
+        self.nodes[at].launches += 1;
     }
 
-    /// Starts the process of an instance with a standard output that nobody reads.
+    /// Starts the process of an instance with its standard output on a pipe that is never read.
     pub fn start_unread(&mut self, at: usize) {
         let child = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
             .args(["node", "--settings"])
-            .arg(self.file(at))
+            .arg(self.settings_file(at))
             .stdout(process::Stdio::piped())
             .spawn()
             .unwrap();
         self.nodes[at].child = Some(child);
-        self.nodes[at].lives += 1;
+        self.nodes[at].launches += 1;
     }
 
     /// Sends a signal to a process of this system.
@@ -232,54 +237,54 @@
         assert!(process::Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Ends a process at once.
+    /// Kills the process of an instance with SIGKILL and waits until it has ended.
     pub fn kill(&mut self, at: usize) {
         let mut child = self.nodes[at].child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    /// Hands a configuration to a keeper.
+    /// Sends a configuration to a keeper and returns the status.
     pub fn publish(&self, at: usize, config: &Value) -> u16 {
         let url = format!("http://{}/apricotroute/config", self.operator(at));
         call(&agent(), "PUT", &url, config.to_string().as_bytes()).0
     }
 
-    /// Reads the configuration at a keeper.
-    pub fn read(&self, at: usize) -> (u16, Value) {
+    /// Reads the configuration from a keeper.
+    pub fn read_config(&self, at: usize) -> (u16, Value) {
         get(&format!("http://{}/apricotroute/config", self.operator(at)))
     }
 
-    /// The value of a metric of an instance, by its name and what stands among its labels.
+    /// The value of the first metric of an instance that has this name and contains these labels.
     pub fn metric(&self, at: usize, name: &str, labels: &[&str]) -> Option<f64> {
         let url = format!("http://{}/metrics", self.address(at, METRICS));
         let text = agent().get(url).call().ok()?.body_mut().read_to_string().ok()?;
-        let start = format!("apricotroute_{name}{{");
-        let meant = |line: &&str| {
-            line.starts_with(&start) && labels.iter().all(|label| line.contains(label))
+        let prefix = format!("apricotroute_{name}{{");
+        let matches = |line: &&str| {
+            line.starts_with(&prefix) && labels.iter().all(|label| line.contains(label))
         };
-        text.lines().find(meant)?.rsplit(' ').next()?.parse().ok()
+        text.lines().find(matches)?.rsplit(' ').next()?.parse().ok()
     }
 
-    /// Whether an entry says that it takes clients.
+    /// Whether an entry reports that it accepts clients.
     pub fn is_ready(&self, at: usize) -> bool {
         get(&format!("http://{}/apricotroute/ready", self.address(at, READY))).0 == 200
     }
 
-    /// Waits until all entries take clients.
+    /// Waits until all entries accept clients.
     pub fn wait_ready(&self) {
         for at in self.entries() {
             eventually(&format!("entry {at} is ready"), || self.is_ready(at));
         }
     }
 
-    /// Submits a job at an entry.
+    /// Submits a job of `count` tasks to an entry.
     pub fn submit(&self, entry: usize, id: &str, count: u32) -> (u16, Value) {
         let url = format!("http://{}/board/{id}", self.client(entry));
         call(&agent(), "POST", &url, job(count).to_string().as_bytes())
     }
 
-    /// What an instance has logged.
+    /// The log text of an instance so far.
     pub fn log(&self, at: usize) -> String {
         fs::read_to_string(self.folder.path().join(format!("{at}.log"))).unwrap_or_default()
     }
@@ -288,19 +293,19 @@
 impl Drop for System {
     fn drop(&mut self) {
         for child in self.nodes.iter_mut().filter_map(|node| node.child.as_mut()) {
-            // It may have ended already.
+            // The process may have ended already.
             drop(child.kill());
             drop(child.wait());
         }
     }
 }
 
-/// Name of a zone.
+/// The name of a zone.
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
 
-/// A job of one step.
+/// A best-effort job of one step with `count` tasks.
 pub fn job(count: u32) -> Value {
     let step = json!({"Count": count, "Cpu": TASK_CPU, "MemMb": 64, "EstimateMs": 100});
     json!({"Spec": "text", "BestEffort": true, "Steps": [step]})
@@ -325,7 +330,7 @@
         "MaxAttempts": 2, "Stretch": 1.6})
 }
 
-/// A client that keeps its connections.
+/// An HTTP client that reuses its connections.
 pub fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
@@ -334,20 +339,20 @@
         .into()
 }
 
-/// A request with a body; status 0 if there was no whole answer.
+/// Sends a request with a body; the status is 0 if no complete answer arrived.
 pub fn call(agent: &ureq::Agent, method: &str, url: &str, body: &[u8]) -> (u16, Value) {
     let request = ureq::http::Request::builder().method(method).uri(url);
     let request = request.header("Host", HOST).header("Apricotroute-Deadline-Ms", "3000");
     let Ok(request) = request.body(body) else { return (0, Value::Null) };
-    agent.run(request).map_or((0, Value::Null), read)
+    agent.run(request).map_or((0, Value::Null), parse)
 }
 
-/// `GET`, as [`call`].
+/// Sends a `GET` request; the result is that of [`call`].
 pub fn get(url: &str) -> (u16, Value) {
-    agent().get(url).header("Host", HOST).call().map_or((0, Value::Null), read)
+    agent().get(url).header("Host", HOST).call().map_or((0, Value::Null), parse)
 }
 
-fn read(mut response: ureq::http::Response<ureq::Body>) -> (u16, Value) {
+fn parse(mut response: ureq::http::Response<ureq::Body>) -> (u16, Value) {
     let status = response.status().as_u16();
     match response.body_mut().read_to_string() {
         Ok(text) => (status, serde_json::from_str(&text).unwrap_or_default()),
@@ -355,7 +360,7 @@
     }
 }
 
-/// Waits until something holds, 15 s at most.
+/// Waits until `check` returns true, and panics with `what` after 15 s.
 pub fn eventually(what: &str, mut check: impl FnMut() -> bool) {
     let until = Instant::now() + Duration::from_secs(15);
     while !check() {
--- a/crates/apricotroute/tests/system/relay.rs
+++ b/crates/apricotroute/tests/system/relay.rs
@@ -1,7 +1,8 @@
-//! Relays that stand in front of the instances of a system and do harm to what passes: they delay
-//! it, hold it back in one direction, break it off, or silence streams for good.
+//! TCP relays in front of the instances of a system that inject network faults: they delay bytes,
+//! block one direction, close streams, or stop the traffic of streams for good.
 //!
-//! A relay knows who has dialled it by the address in the first message of the stream.
+//! A relay identifies the instance that dialed it by the address in the first message of the
+//! stream.
 
 use std::{
     collections, net,
@@ -15,17 +16,17 @@
     sync::watch,
 };
 
-/// What is done to the bytes from one instance to another.
+/// The faults in force between each pair of instances, shared by all relays.
 #[derive(Debug)]
 pub struct Faults {
-    /// Every stream looks again when something changes.
+    /// Wakes every stream after a change, so that it checks the faults again.
     changed: watch::Sender<u64>,
-    cut: Mutex<collections::BTreeSet<(usize, usize)>>,
-    slow: Mutex<collections::BTreeMap<(usize, usize), Duration>>,
-    /// Streams of an instance that are older than this number are broken off.
-    reset: Mutex<collections::BTreeMap<usize, u64>>,
-    /// Streams of an instance that are older than this number carry nothing any more.
-    silent: Mutex<collections::BTreeMap<usize, u64>>,
+    blocked: Mutex<collections::BTreeSet<(usize, usize)>>,
+    delays: Mutex<collections::BTreeMap<(usize, usize), Duration>>,
+    /// Relays close the streams of an instance whose number is below this one.
+    closed: Mutex<collections::BTreeMap<usize, u64>>,
+    /// Streams of an instance whose number is below this one carry no more traffic.
+    blackholed: Mutex<collections::BTreeMap<usize, u64>>,
     streams: atomic::AtomicU64,
 }
 
@@ -33,95 +34,97 @@
     fn default() -> Self {
         Self {
             changed: watch::Sender::new(0),
-            cut: Mutex::default(),
-            slow: Mutex::default(),
-            reset: Mutex::default(),
-            silent: Mutex::default(),
+            blocked: Mutex::default(),
+            delays: Mutex::default(),
+            closed: Mutex::default(),
+            blackholed: Mutex::default(),
             streams: atomic::AtomicU64::default(),
         }
     }
 }
 
 impl Faults {
-    fn change(&self) {
+    fn notify(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Holds back, or lets pass, what goes from one instance to another.
-    pub fn cut(&self, from: usize, to: usize, on: bool) {
-        let mut cut = self.cut.lock().unwrap();
+    /// Blocks or unblocks the traffic from one instance to another.
+    pub fn block(&self, from: usize, to: usize, on: bool) {
+        let mut blocked = self.blocked.lock().unwrap();
         if on {
-            cut.insert((from, to));
+            blocked.insert((from, to));
         } else {
-            cut.remove(&(from, to));
+            blocked.remove(&(from, to));
         }
-        drop(cut);
-        self.change();
+        drop(blocked);
+        self.notify();
     }
 
-    /// Delays what goes from one instance to another.
+    /// Delays the traffic from one instance to another.
     pub fn delay(&self, from: usize, to: usize, time: Duration) {
-        self.slow.lock().unwrap().insert((from, to), time);
+        self.delays.lock().unwrap().insert((from, to), time);
     }
 
-    /// Breaks off all streams of an instance; new ones work.
+    /// Closes all current streams of an instance; new ones work.
     pub fn reset(&self, at: usize) {
-        self.reset.lock().unwrap().insert(at, self.streams.load(atomic::Ordering::SeqCst));
-        self.change();
+        self.closed.lock().unwrap().insert(at, self.streams.load(atomic::Ordering::SeqCst));
+        self.notify();
     }
 
-    /// Silences all streams of an instance for good; new ones work.
-    pub fn silence(&self, at: usize) {
-        self.silent.lock().unwrap().insert(at, self.streams.load(atomic::Ordering::SeqCst));
-        self.change();
+    /// Stops the traffic of all current streams of an instance for good and leaves them open; new
+    /// streams work.
+    pub fn blackhole(&self, at: usize) {
+        self.blackholed.lock().unwrap().insert(at, self.streams.load(atomic::Ordering::SeqCst));
+        self.notify();
     }
 
-    /// Ends every fault that ends.
+    /// Removes all blocks and delays; closed and blackholed streams do not recover.
     pub fn heal(&self) {
-        self.cut.lock().unwrap().clear();
-        self.slow.lock().unwrap().clear();
-        self.change();
+        self.blocked.lock().unwrap().clear();
+        self.delays.lock().unwrap().clear();
+        self.notify();
     }
 
-    fn is_held(&self, stream: &Stream, from: usize, to: usize) -> bool {
-        let older = |at| self.silent.lock().unwrap().get(at).is_some_and(|n| stream.number < *n);
-        self.cut.lock().unwrap().contains(&(from, to)) || older(&from) || older(&to)
+    fn is_blocked(&self, stream: &Stream, from: usize, to: usize) -> bool {
+        let older =
+            |at| self.blackholed.lock().unwrap().get(at).is_some_and(|n| stream.number < *n);
+        self.blocked.lock().unwrap().contains(&(from, to)) || older(&from) || older(&to)
     }
 
-    fn is_broken(&self, stream: &Stream, from: usize, to: usize) -> bool {
-        let older = |at| self.reset.lock().unwrap().get(at).is_some_and(|n| stream.number < *n);
+    fn is_closed(&self, stream: &Stream, from: usize, to: usize) -> bool {
+        let older = |at| self.closed.lock().unwrap().get(at).is_some_and(|n| stream.number < *n);
         older(&from) || older(&to)
     }
 
-    fn pause(&self, from: usize, to: usize) -> Duration {
-        self.slow.lock().unwrap().get(&(from, to)).copied().unwrap_or_default()
+    fn latency(&self, from: usize, to: usize) -> Duration {
+        self.delays.lock().unwrap().get(&(from, to)).copied().unwrap_or_default()
     }
 }
 
-/// Where a relay leads.
+/// The instance behind a relay.
 #[derive(Clone, Debug)]
-pub struct Way {
-    /// Where the instance listens.
-    pub far: net::SocketAddr,
-    /// Its position.
-    pub to: usize,
-    /// What the instances call themselves.
-    pub names: Vec<String>,
-    /// What is done.
+pub struct Target {
+    /// The address on which the instance listens.
+    pub address: net::SocketAddr,
+    /// The index of the instance.
+    pub index: usize,
+    /// The peer addresses of all instances, by index, as they appear in messages.
+    pub peers: Vec<String>,
+    /// The faults that the relay applies.
     pub faults: sync::Arc<Faults>,
 }
 
-/// A relay; it lives as long as its runtime.
+/// A relay, which runs until its runtime is dropped.
 #[derive(Debug)]
 pub struct Relay;
 
 impl Relay {
-    /// Listens on `near`.
-    pub fn open(runtime: &tokio::runtime::Runtime, near: net::SocketAddr, way: Way) {
-        let listener = runtime.block_on(tcp::TcpListener::bind(near)).unwrap();
+    /// Listens on `address` and forwards each stream to `target`.
+    pub fn open(runtime: &tokio::runtime::Runtime, address: net::SocketAddr, target: Target) {
+        let listener = runtime.block_on(tcp::TcpListener::bind(address)).unwrap();
         runtime.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(pass(stream, way.clone()));
+                tokio::spawn(forward(stream, target.clone()));
             }
         });
     }
@@ -130,63 +133,65 @@
 #[derive(Debug)]
 struct Stream {
     number: u64,
-    /// Who dialled; unknown until the first message.
-    from: atomic::AtomicUsize,
+    /// The index of the instance that dialed, or [`UNKNOWN`] until the first message.
+    dialer: atomic::AtomicUsize,
 }
 
 const UNKNOWN: usize = usize::MAX;
 
-async fn pass(near: tcp::TcpStream, way: Way) {
-    let Ok(far) = tcp::TcpStream::connect(way.far).await else { return };
-    if near.set_nodelay(true).and(far.set_nodelay(true)).is_err() {
+async fn forward(inbound: tcp::TcpStream, target: Target) {
+    let Ok(outbound) = tcp::TcpStream::connect(target.address).await else { return };
+    if inbound.set_nodelay(true).and(outbound.set_nodelay(true)).is_err() {
         return;
     }
-    let number = way.faults.streams.fetch_add(1, atomic::Ordering::SeqCst);
-    let stream = Stream { number, from: atomic::AtomicUsize::new(UNKNOWN) };
-    let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-    // Dropping both halves breaks the stream off on both sides.
+    let number = target.faults.streams.fetch_add(1, atomic::Ordering::SeqCst);
+    let stream = Stream { number, dialer: atomic::AtomicUsize::new(UNKNOWN) };
+    let ((dialer_in, dialer_out), (target_in, target_out)) =
+        (inbound.into_split(), outbound.into_split());
+    // Dropping both halves closes the stream on both sides.
     tokio::select! {
-        () = copy(near_in, far_out, &stream, &way, true) => {}
-        () = copy(far_in, near_out, &stream, &way, false) => {}
+        () = copy(dialer_in, target_out, &stream, &target, true) => {}
+        () = copy(target_in, dialer_out, &stream, &target, false) => {}
     }
 }
 
 async fn copy(
-    mut from: tcp::tcp::OwnedReadHalf,
-    mut to: tcp::tcp::OwnedWriteHalf,
+    mut reader: tcp::tcp::OwnedReadHalf,
+    mut writer: tcp::tcp::OwnedWriteHalf,
     stream: &Stream,
-    way: &Way,
-    forth: bool,
+    target: &Target,
+    to_target: bool,
 ) {
     let mut buffer = vec![0; 16 << 10];
-    let mut changed = way.faults.changed.subscribe();
+    let mut changed = target.faults.changed.subscribe();
     loop {
         let read = tokio::select! {
-            read = from.read(&mut buffer) => Some(read),
+            read = reader.read(&mut buffer) => Some(read),
             _ = changed.changed() => None,
         };
-        if forth && let Some(Ok(count)) = &read {
-            identify(&buffer[..*count], stream, way);
+        if to_target && let Some(Ok(count)) = &read {
+            identify(&buffer[..*count], stream, target);
         }
-        let dialler = stream.from.load(atomic::Ordering::SeqCst);
-        let (sender, receiver) = if forth { (dialler, way.to) } else { (way.to, dialler) };
-        let faults = &way.faults;
-        while faults.is_held(stream, sender, receiver) {
-            if faults.is_broken(stream, sender, receiver) {
+        let dialer = stream.dialer.load(atomic::Ordering::SeqCst);
+        let (sender, receiver) =
+            if to_target { (dialer, target.index) } else { (target.index, dialer) };
+        let faults = &target.faults;
+        while faults.is_blocked(stream, sender, receiver) {
+            if faults.is_closed(stream, sender, receiver) {
                 return;
             }
             if changed.changed().await.is_err() {
                 return;
             }
         }
-        if faults.is_broken(stream, sender, receiver) {
+        if faults.is_closed(stream, sender, receiver) {
             return;
         }
         match read {
             None => {}
             Some(Ok(count)) if count > 0 => {
-                tokio::time::sleep(faults.pause(sender, receiver)).await;
-                if to.write_all(&buffer[..count]).await.is_err() {
+                tokio::time::sleep(faults.latency(sender, receiver)).await;
+                if writer.write_all(&buffer[..count]).await.is_err() {
                     return;
                 }
             }
@@ -195,17 +200,17 @@
     }
 }
 
-/// Finds who dialled in the first message.
-fn identify(bytes: &[u8], stream: &Stream, way: &Way) {
-    if stream.from.load(atomic::Ordering::SeqCst) != UNKNOWN {
+/// Finds the address of the instance that dialed in the first message of a stream.
+fn identify(bytes: &[u8], stream: &Stream, target: &Target) {
+    if stream.dialer.load(atomic::Ordering::SeqCst) != UNKNOWN {
         return;
     }
-    let found = |name: &String| {
-        // Names end with the port, so none is the beginning of another.
-        bytes.windows(name.len()).any(|part| part == name.as_bytes())
+    let found = |address: &String| {
+        // Addresses end with the port, so none is a prefix of another.
+        bytes.windows(address.len()).any(|part| part == address.as_bytes())
     };
-    let others = way.names.iter().enumerate().filter(|(at, _)| *at != way.to);
-    if let Some((at, _)) = others.into_iter().find(|(_, name)| found(name)) {
-        stream.from.store(at, atomic::Ordering::SeqCst);
+    let others = target.peers.iter().enumerate().filter(|(at, _)| *at != target.index);
+    if let Some((at, _)) = others.into_iter().find(|(_, address)| found(address)) {
+        stream.dialer.store(at, atomic::Ordering::SeqCst);
     }
 }
