--- a/crates/apricotroute/src/node/control.rs
+++ b/crates/apricotroute/src/node/control.rs
@@ -121,7 +121,7 @@
                 status_due = time::Instant::now() + STATUS_INTERVAL;
                 self.update_status();
             }
-            for output in self.core.settle(self.control.clock.now()) {
+            for output in self.core.take_outputs(self.control.clock.now()) {
                 self.handle_output(output);
             }
             self.flush();
@@ -141,10 +141,10 @@
                 event
             }
         };
-        if let Event::Left(ticket) = &event {
+        if let Event::Disconnected(ticket) = &event {
             self.replies.remove(ticket);
         }
-        self.core.tell(event, self.control.clock.now());
+        self.core.apply(event, self.control.clock.now());
     }
 
     fn handle_output(&mut self, output: Output) {
@@ -157,7 +157,7 @@
             Output::Redial(to) => self.work.push(Work::Redial(to)),
             Output::Disconnect(to) => self.work.push(Work::Disconnect(to)),
             Output::Save(number, save) => self.saves.push((number, save)),
-            Output::Remember(known) => self.store(store::Write::Known(known)),
+            Output::SaveKnown(known) => self.store(store::Write::Known(known)),
             Output::Call(call) => {
                 if let order::Order::Start { waited, .. } = &call.order {
                     metric::note_start(time::Duration::from_millis(*waited));
--- a/crates/apricotroute/src/node/mod.rs
+++ b/crates/apricotroute/src/node/mod.rs
@@ -161,14 +161,14 @@
         node::Role::Keeper => member::Role::Keeper,
     };
     let name = peer_name(node);
-    let me = member::Card { name: name.clone(), zone: node.zone.clone(), role, life: incarnation };
+    let me = member::Card { name: name.clone(), zone: node.zone.clone(), role, incarnation };
     let seeds = node.seed_peers();
     let store = match &node.folder {
         Some(folder) => Some(open_store(node, folder, seeds.contains(&name), log)?),
         None => None,
     };
     let disk = store.as_ref().map(|store| core::Disk {
-        life: store.incarnation,
+        incarnation: store.incarnation,
         recovered: store.recovered(),
         first: node.first,
         known: store.known.clone(),
@@ -186,9 +186,9 @@
     is_seed: bool,
     log: &slog::Logger,
 ) -> error::Result<store::Store> {
-    let random = u64::from(rand::random::<u32>()) + dispatch::control_log::FIRST_LIFE + 1;
+    let random = u64::from(rand::random::<u32>()) + dispatch::control_log::FIRST_INCARNATION + 1;
     let incarnation =
-        if node.first && is_seed { dispatch::control_log::FIRST_LIFE } else { random };
+        if node.first && is_seed { dispatch::control_log::FIRST_INCARNATION } else { random };
     let store = store::Store::open(folder, &peer_name(node), incarnation)?;
     if store.truncated > 0 {
         slog::warn!(log, "store: Cut an unfinished write."; "bytes" => store.truncated);
--- a/crates/dispatch/src/active.rs
+++ b/crates/dispatch/src/active.rs
@@ -19,7 +19,7 @@
 
 /// Selects the waiting tasks that the scheduler gives back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Return {
+pub enum ReturnScope {
     /// Waiting tasks that were never started.
     Unstarted,
     /// All waiting tasks.
@@ -28,7 +28,7 @@
 
 /// A task and its runs.
 #[derive(Clone, Debug)]
-pub struct Item {
+pub struct TaskState {
     /// State of the task.
     pub phase: Phase,
     /// Number of failed runs.
@@ -39,7 +39,7 @@
 
 /// A job that a scheduler works on.
 #[derive(Debug)]
-pub struct Active {
+pub struct ActiveJob {
     /// The job.
     pub job: job::Job,
     /// Instance whose client waits for the answer.
@@ -47,11 +47,11 @@
     /// Arrival at the first instance, on this instance's clock.
     pub arrived: u64,
     /// Last time at which the entry was known to wait for the job.
-    pub awaited: u64,
+    pub last_awaited: u64,
     /// The entry's clock when it last reported that it waits for the job.
-    pub stamp: u64,
+    pub entry_clock: u64,
     /// Time from which no run that former schedulers started can be left, even an unknown one.
-    pub over: u64,
+    pub runs_end: u64,
     /// Digests of former schedulers' sets of upstreams that are not fully known here.
     pub uncovered: smallvec::SmallVec<[u64; 2]>,
     /// Whether a task of the job may have been started, here or elsewhere.
@@ -63,34 +63,34 @@
     /// Whether the scheduler gives back tasks that cannot start at once.
     pub offer: bool,
     /// Breakdown of the time of the task that completed last.
-    pub last: Option<timing::Breakdown>,
+    pub last_breakdown: Option<timing::Breakdown>,
     /// Tasks of the job by step.
-    pub items: Vec<Vec<Item>>,
+    pub tasks: Vec<Vec<TaskState>>,
     waiting: u32,
 }
 
-impl Active {
+impl ActiveJob {
     /// Creates the state of a job that has just arrived from `entry`, whose clock stamped it.
     pub fn new(job: job::Job, entry: &name::Name, handover: &message::Handover, now: u64) -> Self {
-        let item = Item { phase: Phase::Away, failures: 0, attempt: 0 };
-        let items: Vec<_> =
-            job.steps.iter().map(|step| vec![item.clone(); step.count as usize]).collect();
+        let task = TaskState { phase: Phase::Away, failures: 0, attempt: 0 };
+        let tasks: Vec<_> =
+            job.steps.iter().map(|step| vec![task.clone(); step.count as usize]).collect();
         let arrived = now.saturating_sub(job.age * time::MS);
-        let stamp = job.stamp;
+        let entry_clock = job.entry_clock;
         let mut active = Self {
             job,
             entry: entry.clone(),
             arrived,
-            awaited: now,
-            stamp,
-            over: 0,
+            last_awaited: now,
+            entry_clock,
+            runs_end: 0,
             uncovered: smallvec::SmallVec::new(),
             started: false,
             number: 0,
             share: share::Share::default(),
             offer: false,
-            last: None,
-            items,
+            last_breakdown: None,
+            tasks,
             waiting: 0,
         };
         active.take(handover);
@@ -102,11 +102,11 @@
         self.number = handover.number;
         self.share = handover.share.clone();
         self.offer = handover.offer;
-        self.started |= handover.begun || self.job.resumed;
-        for items in &mut self.items {
-            for (item, index) in items.iter_mut().zip(0..) {
-                if item.phase == Phase::Away && self.share.has(index) {
-                    item.phase = Phase::Waiting;
+        self.started |= handover.may_have_started || self.job.resumed;
+        for tasks in &mut self.tasks {
+            for (task, index) in tasks.iter_mut().zip(0..) {
+                if task.phase == Phase::Away && self.share.has(index) {
+                    task.phase = Phase::Waiting;
                     self.waiting += 1;
                 }
             }
@@ -114,12 +114,12 @@
     }
 
     /// Gives back waiting tasks and returns their numbers.
-    pub fn give_back(&mut self, which: Return) -> share::Tasks {
+    pub fn give_back(&mut self, which: ReturnScope) -> share::Tasks {
         let mut tasks = share::Tasks::new();
-        for (item, index) in self.items.iter_mut().flatten().zip(0..) {
-            let selected = which == Return::Waiting || item.attempt == 0;
-            if item.phase == Phase::Waiting && selected {
-                item.phase = Phase::Away;
+        for (state, index) in self.tasks.iter_mut().flatten().zip(0..) {
+            let selected = which == ReturnScope::Waiting || state.attempt == 0;
+            if state.phase == Phase::Waiting && selected {
+                state.phase = Phase::Away;
                 tasks.push(index);
             }
         }
@@ -130,33 +130,33 @@
     /// Whether the waiting tasks may be given back: this holds for a job of one step, and for a job
     /// of several steps of which no task has started.
     pub fn is_movable(&self) -> bool {
-        let is_unstarted = |item: &Item| item.phase == Phase::Waiting && item.attempt == 0;
-        self.job.is_divisible() || self.items.iter().flatten().all(is_unstarted)
+        let is_unstarted = |task: &TaskState| task.phase == Phase::Waiting && task.attempt == 0;
+        self.job.is_divisible() || self.tasks.iter().flatten().all(is_unstarted)
     }
 
     /// Whether a task of the job may be running.
     pub fn is_running(&self) -> bool {
-        self.items.iter().flatten().any(|item| matches!(item.phase, Phase::Placed(_)))
+        self.tasks.iter().flatten().any(|task| matches!(task.phase, Phase::Placed(_)))
     }
 
     /// Whether one of these tasks, numbered through all steps, was started.
     pub fn has_run(&self, tasks: &[u32]) -> bool {
-        let items = self.items.iter().flatten().zip(0..);
-        items.into_iter().any(|(item, index)| item.attempt > 0 && tasks.contains(&index))
+        let states = self.tasks.iter().flatten().zip(0..);
+        states.into_iter().any(|(state, index)| state.attempt > 0 && tasks.contains(&index))
     }
 
     /// Whether a run that another scheduler started may still be in progress, at an upstream that
     /// has not answered yet (`unread`) or that is not known here.
     pub fn is_blocked(&self, unread: bool, now: u64) -> bool {
         let unsure = unread || !self.uncovered.is_empty();
-        self.job.resumed && unsure && now < self.over
+        self.job.resumed && unsure && now < self.runs_end
     }
 
     /// Marks waiting tasks that were completed earlier as done.
     pub fn set_done(&mut self, share: &share::Share) {
-        for (item, index) in self.items.iter_mut().flatten().zip(0..) {
-            if item.phase == Phase::Waiting && share.has(index) {
-                item.phase = Phase::Done;
+        for (state, index) in self.tasks.iter_mut().flatten().zip(0..) {
+            if state.phase == Phase::Waiting && share.has(index) {
+                state.phase = Phase::Done;
                 self.waiting -= 1;
             }
         }
@@ -164,9 +164,9 @@
 
     /// Tasks of the last hand-over that the scheduler has given back since.
     pub fn given_back(&self) -> share::Tasks {
-        let items = self.items.iter().flatten().zip(0..);
+        let states = self.tasks.iter().flatten().zip(0..);
         let away =
-            items.filter(|(item, index)| item.phase == Phase::Away && self.share.has(*index));
+            states.filter(|(state, index)| state.phase == Phase::Away && self.share.has(*index));
         away.map(|(_, index)| index).collect()
     }
 
@@ -190,56 +190,56 @@
         if self.waiting() == 0 {
             return 0;
         }
-        self.job.widest() as i64 * i64::from(self.waiting())
+        self.job.max_cpu() as i64 * i64::from(self.waiting())
     }
 
     /// Whether all tasks of this scheduler are done.
     pub fn is_complete(&self) -> bool {
-        let is_over = |item: &Item| matches!(item.phase, Phase::Done | Phase::Away);
-        self.items.iter().flatten().all(is_over)
+        let is_over = |task: &TaskState| matches!(task.phase, Phase::Done | Phase::Away);
+        self.tasks.iter().flatten().all(is_over)
     }
 
     /// Whether the tasks of a step may start: all steps before it are done.
     pub fn is_due(&self, step: usize) -> bool {
         let done = |before: &u32| {
-            let items = self.items.get(*before as usize);
-            items.is_none_or(|items| items.iter().all(|item| item.phase == Phase::Done))
+            let tasks = self.tasks.get(*before as usize);
+            tasks.is_none_or(|tasks| tasks.iter().all(|task| task.phase == Phase::Done))
         };
         self.job.steps[step].after.iter().all(done)
     }
 
     /// Whether a task is not with this scheduler.
     pub fn is_away(&self, task: &job::Task) -> bool {
-        self.item(task).is_some_and(|item| item.phase == Phase::Away)
+        self.task(task).is_some_and(|state| state.phase == Phase::Away)
     }
 
     /// Looks up a task.
-    pub fn item(&self, task: &job::Task) -> Option<&Item> {
-        self.items.get(task.step as usize)?.get(task.index as usize)
+    pub fn task(&self, task: &job::Task) -> Option<&TaskState> {
+        self.tasks.get(task.step as usize)?.get(task.index as usize)
     }
 
     /// Changes the phase of a task and returns the former one.
     pub fn set(&mut self, task: &job::Task, phase: Phase) -> Option<Phase> {
-        let item = self.items.get_mut(task.step as usize)?.get_mut(task.index as usize)?;
-        let former = std::mem::replace(&mut item.phase, phase);
+        let state = self.tasks.get_mut(task.step as usize)?.get_mut(task.index as usize)?;
+        let former = std::mem::replace(&mut state.phase, phase);
         self.waiting -= u32::from(former == Phase::Waiting);
-        self.waiting += u32::from(item.phase == Phase::Waiting);
-        self.started |= matches!(item.phase, Phase::Placed(_));
+        self.waiting += u32::from(state.phase == Phase::Waiting);
+        self.started |= matches!(state.phase, Phase::Placed(_));
         Some(former)
     }
 
     /// Looks up a task for changes.
-    pub fn item_mut(&mut self, task: &job::Task) -> Option<&mut Item> {
-        self.items.get_mut(task.step as usize)?.get_mut(task.index as usize)
+    pub fn task_mut(&mut self, task: &job::Task) -> Option<&mut TaskState> {
+        self.tasks.get_mut(task.step as usize)?.get_mut(task.index as usize)
     }
 
     /// End of the objective.
-    pub fn due(&self) -> u64 {
+    pub fn objective_end(&self) -> u64 {
         self.arrived + self.job.objective * time::MS
     }
 
     /// Time at which the client gives up.
-    pub fn end(&self) -> u64 {
+    pub fn client_deadline(&self) -> u64 {
         self.arrived + self.job.patience * time::MS
     }
 }
--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -3,12 +3,12 @@
 use state::name;
 
 use crate::{
-    active::{Active, Phase},
+    active::{ActiveJob, Phase},
     job::{Job, Refusal, Verdict},
-    message::{self, Ruling},
+    message::{self, Decision},
     order::End,
     queue,
-    sched::{FORMER, Sched},
+    sched::{FORMER_RUN_TIMEOUT, Sched},
     session::Session,
     time, upstream,
 };
@@ -34,7 +34,7 @@
     ) {
         self.note("job: Refused, its tasks crash upstreams.", id, "");
         let (number, share) = (handover.number, handover.share);
-        self.rule(entry, id, Ruling { number, share, verdict: Verdict::Failed }, now);
+        self.send_verdict(entry, id, Decision { number, share, verdict: Verdict::Failed }, now);
     }
 
     /// Accepts a job, or some of its tasks, from an entry, together with what the entry knows about
@@ -50,25 +50,27 @@
         if self.jobs.get(&id).is_some_and(|active| active.number > handover.number) {
             return;
         }
-        let over = (now + FORMER).saturating_sub(handover.parted * time::MS);
+        let over = (now + FORMER_RUN_TIMEOUT).saturating_sub(handover.release_age * time::MS);
         if !handover.former.is_empty() {
-            self.unsure.insert(id.clone());
+            self.uncovered_jobs.insert(id.clone());
         }
         if handover.offer {
             self.offers.insert(id.clone());
         }
-        let former = self.verdicts.remove(&id).map(|(ruling, _)| ruling);
-        if let Some(ruling) = former.as_ref().filter(|ruling| is_answer(ruling, &job, &handover)) {
-            let ruling = Ruling { number: handover.number, ..ruling.clone() };
-            return self.rule(entry, &id, ruling, now);
+        let former = self.verdicts.remove(&id).map(|(decision, _)| decision);
+        if let Some(decision) =
+            former.as_ref().filter(|decision| is_answer(decision, &job, &handover))
+        {
+            let decision = Decision { number: handover.number, ..decision.clone() };
+            return self.send_verdict(entry, &id, decision, now);
         }
         if let Some(active) = self.jobs.get_mut(&id) {
             active.entry = entry.clone();
-            active.awaited = now;
-            active.stamp = job.stamp;
+            active.last_awaited = now;
+            active.entry_clock = job.entry_clock;
             // Another scheduler may have had the job in the meantime.
             active.job.resumed |= job.resumed;
-            active.over = active.over.max(over);
+            active.runs_end = active.runs_end.max(over);
             active.take(&handover);
             active.uncovered.extend(handover.former);
             self.dirty = true;
@@ -79,15 +81,15 @@
             let detail = format!("{refusal:?}, {}m of {}m cores free", load.free, load.total);
             self.note("job: Refused.", &id, &detail);
             let (number, share) = (handover.number, handover.share);
-            let ruling = Ruling { number, share, verdict: Verdict::NotRun(refusal) };
-            self.out.verdicts.push((entry.clone(), id, ruling));
+            let decision = Decision { number, share, verdict: Verdict::NotRun(refusal) };
+            self.out.verdicts.push((entry.clone(), id, decision));
             return;
         }
-        let mut active = Active::new(job, entry, &handover, now);
-        active.over = over;
+        let mut active = ActiveJob::new(job, entry, &handover, now);
+        active.runs_end = over;
         active.uncovered.extend(handover.former);
-        if let Some(ruling) = former.filter(|ruling| ruling.verdict == Verdict::Complete) {
-            active.set_done(&ruling.share);
+        if let Some(decision) = former.filter(|decision| decision.verdict == Verdict::Complete) {
+            active.set_done(&decision.share);
         }
         self.jobs.insert(id.clone(), active);
         self.adopt(&id, now);
@@ -102,7 +104,7 @@
         now: u64,
     ) -> Option<Refusal> {
         // Offered tasks without room go back to the entry, since another zone may have room.
-        if job.resumed || handover.begun || handover.offer {
+        if job.resumed || handover.may_have_started || handover.offer {
             return None;
         }
         let serves =
@@ -124,8 +126,9 @@
         {
             return None;
         }
-        let queued = self.jobs.values().map(|active| (active.due(), active.waiting_cpu()));
-        queue::refuse(job, queued, self.load(now), now).map(Refusal::Overload)
+        let queued =
+            self.jobs.values().map(|active| (active.objective_end(), active.waiting_cpu()));
+        queue::refusal_delay(job, queued, self.load(now), now).map(Refusal::Overload)
     }
 
     /// Attaches runs, and ends of runs, of a former scheduler to a job that was submitted again.
@@ -144,7 +147,7 @@
         let mut duplicates = Vec::new();
         if let Some(active) = self.jobs.get_mut(id) {
             for (session, task, attempt) in found {
-                let Some(item) = active.item_mut(&task) else { continue };
+                let Some(item) = active.task_mut(&task) else { continue };
                 item.attempt = item.attempt.max(attempt);
                 // An upstream that carried out a start late may have left two runs of one task. A
                 // task that another scheduler has may still have a run here from an earlier
@@ -168,7 +171,7 @@
                 }
             }
         }
-        self.settle(id, now);
+        self.finish_if_complete(id, now);
     }
 
     /// Drops a job that its entry no longer waits for.
@@ -198,21 +201,21 @@
     /// Records that an entry still waits for these hand-overs of jobs, and returns those that this
     /// scheduler does not know. If the entry counts more tasks here than the scheduler has, the
     /// message that gave them back was lost, and the scheduler gives them back again.
-    pub fn awaited(
+    pub fn renew_awaited(
         &mut self,
         handovers: &[message::Awaited],
         entry: &name::Name,
-        stamp: u64,
+        entry_clock: u64,
         now: u64,
     ) -> Vec<message::Awaited> {
         let mut unknown = Vec::new();
         for awaited in handovers {
             let message::Awaited { job: id, number, count } = awaited;
-            let ruled = self.verdicts.get(id).filter(|(ruling, _)| ruling.number == *number);
+            let ruled = self.verdicts.get(id).filter(|(decision, _)| decision.number == *number);
             match self.jobs.get_mut(id) {
                 Some(active) if active.number >= *number => {
-                    active.awaited = now;
-                    active.stamp = stamp;
+                    active.last_awaited = now;
+                    active.entry_clock = entry_clock;
                     active.entry = entry.clone();
                     if active.held().len(active.job.count()) < *count {
                         let tasks = active.given_back();
@@ -221,8 +224,8 @@
                 }
                 Some(_) => unknown.push(awaited.clone()),
                 None => match ruled {
-                    Some((ruling, _)) => {
-                        self.out.verdicts.push((entry.clone(), id.clone(), ruling.clone()));
+                    Some((decision, _)) => {
+                        self.out.verdicts.push((entry.clone(), id.clone(), decision.clone()));
                     }
                     None => unknown.push(awaited.clone()),
                 },
@@ -232,11 +235,11 @@
     }
 }
 
-/// Whether an earlier ruling on a job also answers this hand-over. A ruling that nothing was run
-/// does not, because another scheduler may have started tasks of the job since.
-fn is_answer(ruling: &Ruling, job: &Job, handover: &message::Handover) -> bool {
-    match ruling.verdict {
-        Verdict::Complete => ruling.share.covers(&handover.share),
+/// Whether an earlier decision on a job also answers this hand-over. A decision that no task was
+/// run does not, because another scheduler may have started tasks of the job since.
+fn is_answer(decision: &Decision, job: &Job, handover: &message::Handover) -> bool {
+    match decision.verdict {
+        Verdict::Complete => decision.share.covers(&handover.share),
         Verdict::Failed => true,
         Verdict::GaveUp => job.resumed,
         Verdict::NotRun(_) => false,
--- a/crates/dispatch/src/assignment.rs
+++ b/crates/dispatch/src/assignment.rs
@@ -18,25 +18,25 @@
     /// of the job.
     pub(crate) number: u64,
     pub(crate) share: share::Share,
-    pub(crate) with: Option<claim::Claim>,
+    pub(crate) claim: Option<claim::Claim>,
     /// Time of the last message to the scheduler that the entry waits.
-    pub(crate) asked: u64,
+    pub(crate) last_asked: u64,
     /// Whether the tasks were handed over to a scheduler that may have started some of them.
-    pub(crate) given: bool,
+    pub(crate) handed_over: bool,
     /// Whether another scheduler may have started some of the tasks.
     pub(crate) resumed: bool,
     /// Whether the scheduler does not know the hand-over.
     pub(crate) disowned: bool,
     /// Digest of the upstreams that the scheduler reported last.
-    pub(crate) told: u64,
+    pub(crate) last_digest: u64,
     /// Digests that the schedulers which had the tasks before reported last.
-    pub(crate) former: smallvec::SmallVec<[u64; 2]>,
-    /// Time since which the entry has not heard from the scheduler.
-    pub(crate) lost: Option<u64>,
+    pub(crate) former_digests: smallvec::SmallVec<[u64; 2]>,
+    /// When the scheduler was lost; `None` while it is alive and its claim is current.
+    pub(crate) lost_since: Option<u64>,
     /// Zone where some of the tasks may run; no scheduler of another zone may have them.
-    pub(crate) pin: Option<name::Name>,
+    pub(crate) pinned_zone: Option<name::Name>,
     /// Zones that had no room for these tasks.
-    pub(crate) tried: smallvec::SmallVec<[name::Name; 4]>,
+    pub(crate) full_zones: smallvec::SmallVec<[name::Name; 4]>,
 }
 
 /// Action that is due for an assignment.
@@ -44,9 +44,9 @@
 pub(crate) enum Due {
     Nothing,
     /// The entry has to tell the scheduler that it waits.
-    Ask,
+    Refresh,
     /// The entry has to hand the tasks over.
-    Give,
+    HandOver,
 }
 
 impl Assignment {
@@ -55,22 +55,22 @@
         Self {
             number,
             share,
-            with: None,
-            asked: now,
-            given: false,
+            claim: None,
+            last_asked: now,
+            handed_over: false,
             resumed: false,
             disowned: false,
-            told: 0,
-            former: smallvec::SmallVec::new(),
-            lost: None,
-            pin: None,
-            tried: smallvec::SmallVec::new(),
+            last_digest: 0,
+            former_digests: smallvec::SmallVec::new(),
+            lost_since: None,
+            pinned_zone: None,
+            full_zones: smallvec::SmallVec::new(),
         }
     }
 
     /// Whether this scheduler has the tasks.
     pub(crate) fn is_with(&self, holder: &name::Name) -> bool {
-        self.with.as_ref().is_some_and(|claim| claim.holder == *holder)
+        self.claim.as_ref().is_some_and(|claim| claim.holder == *holder)
     }
 
     /// Updates the assignment for the present time and returns the action that is due. The entry
@@ -78,28 +78,28 @@
     /// have passed since it lost the scheduler, no run of the tasks is left there.
     pub(crate) fn tick(&mut self, view: View<'_>, interval: u64, expiry: u64) -> Due {
         let now = view.now;
-        if let Some(told) = self.with.as_ref().and_then(|claim| view.told(claim)) {
-            self.told = told;
+        if let Some(digest) = self.claim.as_ref().and_then(|claim| view.reported_digest(claim)) {
+            self.last_digest = digest;
         }
         if std::mem::take(&mut self.disowned) {
             self.reclaim();
         }
-        if self.lost.is_some_and(|lost| now >= lost + expiry) {
+        if self.lost_since.is_some_and(|lost| now >= lost + expiry) {
             self.reclaim();
-            self.pin = None;
+            self.pinned_zone = None;
         }
-        let Some(claim) = &self.with else { return Due::Give };
+        let Some(claim) = &self.claim else { return Due::HandOver };
         if view.is_current(claim) {
-            self.lost = None;
-            let due = now >= self.asked + interval;
-            self.asked = if due { now } else { self.asked };
-            return if due { Due::Ask } else { Due::Nothing };
+            self.lost_since = None;
+            let due = now >= self.last_asked + interval;
+            self.last_asked = if due { now } else { self.last_asked };
+            return if due { Due::Refresh } else { Due::Nothing };
         }
-        self.lost.get_or_insert(now);
+        self.lost_since.get_or_insert(now);
         let next = view.claims.of(&claim.zone);
-        if next.is_some_and(|next| next != claim && view.membership.holds(next, now)) {
+        if next.is_some_and(|next| next != claim && view.membership.is_holder_alive(next, now)) {
             self.reclaim();
-            return Due::Give;
+            return Due::HandOver;
         }
         Due::Nothing
     }
@@ -107,51 +107,51 @@
     /// Takes the tasks back from their scheduler; some runs may still be in progress.
     fn reclaim(&mut self) {
         self.resumed = true;
-        if self.with.take().is_some() {
-            self.add_former(self.told);
+        if self.claim.take().is_some() {
+            self.add_former(self.last_digest);
         }
     }
 
     /// Records the set of upstreams of a scheduler that had some of the tasks before.
     fn add_former(&mut self, set: u64) {
-        if self.former.contains(&set) {
+        if self.former_digests.contains(&set) {
             return;
         }
-        if self.former.len() < MAX_FORMER_SETS {
-            self.former.push(set);
+        if self.former_digests.len() < MAX_FORMER_SETS {
+            self.former_digests.push(set);
         } else {
-            self.former = smallvec::smallvec![UNKNOWN_SET];
+            self.former_digests = smallvec::smallvec![UNKNOWN_SET];
         }
     }
 
     /// Records that the scheduler gave all tasks back and that none of them runs there.
     pub(crate) fn returned(&mut self) {
-        if let Some(claim) = self.with.take() {
-            self.tried.push(claim.zone);
+        if let Some(claim) = self.claim.take() {
+            self.full_zones.push(claim.zone);
         }
-        self.pin = None;
-        self.given = self.resumed;
+        self.pinned_zone = None;
+        self.handed_over = self.resumed;
     }
 
     /// Creates a separate assignment for tasks of this one that their scheduler gave back.
     pub(crate) fn split(&self, number: u64, tasks: share::Tasks, now: u64) -> Self {
-        let mut tried = self.tried.clone();
-        tried.extend(self.with.as_ref().map(|claim| claim.zone.clone()));
-        Self { tried, ..Self::new(number, share::Share::new(tasks), now) }
+        let mut full_zones = self.full_zones.clone();
+        full_zones.extend(self.claim.as_ref().map(|claim| claim.zone.clone()));
+        Self { full_zones, ..Self::new(number, share::Share::new(tasks), now) }
     }
 
     /// Merges the tasks of an assignment that goes to the same scheduler.
     pub(crate) fn join(&mut self, other: Self) {
         self.share.add(&other.share);
         self.resumed |= other.resumed;
-        self.tried = other.tried;
-        for set in other.former {
+        self.full_zones = other.full_zones;
+        for set in other.former_digests {
             self.add_former(set);
         }
     }
 
     /// Time since the last message to a scheduler of the tasks that the entry waits, milliseconds.
-    pub(crate) fn parted(&self, now: u64) -> u64 {
-        now.saturating_sub(self.asked) / time::MS
+    pub(crate) fn since_asked(&self, now: u64) -> u64 {
+        now.saturating_sub(self.last_asked) / time::MS
     }
 }
--- a/crates/dispatch/src/call_timeout.rs
+++ b/crates/dispatch/src/call_timeout.rs
@@ -9,7 +9,7 @@
 
 /// Longest timeout of an order, milliseconds: twenty round trips between zones. Until it has
 /// passed, the scheduler sends the upstream no other order.
-pub(crate) const PATIENCE: u64 = 50;
+pub(crate) const MAX_TIMEOUT: u64 = 50;
 /// Shortest timeout of an order, milliseconds: timers and threads run late by some milliseconds.
 const MIN_TIMEOUT: u64 = 10;
 /// The timeout is this many times as long as the slowest recent answer took.
@@ -54,15 +54,15 @@
     /// late.
     pub fn late(&mut self, now: u64) {
         let window = self.window(now);
-        window.slowest = window.slowest.max(PATIENCE * time::MS);
+        window.slowest = window.slowest.max(MAX_TIMEOUT * time::MS);
     }
 
     /// Present timeout of an order, milliseconds.
-    pub fn patience(&self) -> u64 {
+    pub fn timeout(&self) -> u64 {
         match self.windows.iter().map(|window| window.slowest).max() {
-            None | Some(0) => PATIENCE,
+            None | Some(0) => MAX_TIMEOUT,
             Some(slowest) => {
-                (slowest * TIMEOUT_FACTOR).div_ceil(time::MS).clamp(MIN_TIMEOUT, PATIENCE)
+                (slowest * TIMEOUT_FACTOR).div_ceil(time::MS).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
             }
         }
     }
--- a/crates/dispatch/src/claim.rs
+++ b/crates/dispatch/src/claim.rs
@@ -7,7 +7,7 @@
 /// the same fencing token from one another.
 pub(crate) const OWNER_BITS: u32 = 12;
 /// Difference between a fencing token and the next higher one of the same owner.
-pub const NEXT_FENCE: u64 = 1 << OWNER_BITS;
+pub const FENCE_STEP: u64 = 1 << OWNER_BITS;
 
 /// An instance's claim to schedule a zone.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -21,5 +21,5 @@
     /// The instance that claims the zone.
     pub holder: name::Name,
     /// Incarnation of the holder.
-    pub life: u64,
+    pub incarnation: u64,
 }
--- a/crates/dispatch/src/compression.rs
+++ b/crates/dispatch/src/compression.rs
@@ -13,7 +13,7 @@
 
 /// Error for input that cannot be decompressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Error {
     /// The input is no output of [`compress`].
     Broken,
     /// The text is larger than 64 MB.
@@ -40,11 +40,11 @@
 ///
 /// let packed = compression::compress(b"text");
 /// assert_eq!(compression::decompress(&packed).unwrap(), "text");
-/// assert_eq!(compression::decompress(b"text"), Err(compression::Fault::Broken));
+/// assert_eq!(compression::decompress(b"text"), Err(compression::Error::Broken));
 /// ```
-pub fn decompress(packed: &[u8]) -> Result<Bytes, Fault> {
+pub fn decompress(packed: &[u8]) -> Result<Bytes, Error> {
     let mut text = Vec::new();
     let mut reader = bufread::DeflateDecoder::new(packed).take(MAX_TEXT + 1);
-    reader.read_to_end(&mut text).map_err(|_error| Fault::Broken)?;
-    if text.len() as u64 > MAX_TEXT { Err(Fault::TooLong) } else { Ok(text.into()) }
+    reader.read_to_end(&mut text).map_err(|_error| Error::Broken)?;
+    if text.len() as u64 > MAX_TEXT { Err(Error::TooLong) } else { Ok(text.into()) }
 }
--- a/crates/dispatch/src/control_log.rs
+++ b/crates/dispatch/src/control_log.rs
@@ -31,7 +31,7 @@
 /// The formation of a group whose first members the settings name.
 const FIRST_FORMATION: agree::Formation = agree::Formation { at: 1, by: 1 };
 /// Incarnation of the disks of the group's first members.
-pub const FIRST_LIFE: u64 = 1;
+pub const FIRST_INCARNATION: u64 = 1;
 
 /// A change of the replicated state, as stored in the log.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
@@ -118,7 +118,7 @@
 
     fn evacuate(&mut self, order: &evacuation::Order) -> Outcome {
         match self.state.evacuations.apply(order) {
-            evacuation::Outcome::Held => Outcome::InForce,
+            evacuation::Outcome::InForce => Outcome::InForce,
             evacuation::Outcome::Stale => Outcome::Stale,
         }
     }
@@ -228,7 +228,7 @@
         if let Some(founders) = founders
             && fresh
         {
-            let member = |name| name::Member::new(name, FIRST_LIFE);
+            let member = |name| name::Member::new(name, FIRST_INCARNATION);
             let voters = entry::Voters(founders.iter().map(member).collect());
             group.form(FIRST_FORMATION, voters, now);
         }
@@ -320,19 +320,19 @@
     }
 
     /// Reads the newest configuration for the operator.
-    pub fn read(&mut self, ticket: Ticket, now: u64) {
+    pub fn query_newest(&mut self, ticket: Ticket, now: u64) {
         self.query(Requester::Local(ticket), now);
     }
 
     /// Handles the query of another member for the newest version, if this member leads the group.
-    pub fn confirm(&mut self, from: &name::Name, number: u64, now: u64) {
+    pub fn on_query(&mut self, from: &name::Name, number: u64, now: u64) {
         if self.group.is_leader() {
             self.query(Requester::Peer(from.clone(), number), now);
         }
     }
 
     /// Handles the leader's answer to a query.
-    pub fn confirmed(&mut self, number: u64, version: u64) {
+    pub fn on_query_answer(&mut self, number: u64, version: u64) {
         if let Some(query) = self.queries.get_mut(&number) {
             query.min_version = Some(version);
         }
@@ -340,7 +340,7 @@
     }
 
     /// Handles a message of the group.
-    pub fn agree(&mut self, from: &name::Name, body: agree::Body, now: time::Now) {
+    pub fn on_group_message(&mut self, from: &name::Name, body: agree::Body, now: time::Now) {
         match body {
             agree::Body::Form(_, life, form) => {
                 self.group.on_form(&name::Member::new(from, life), &form, now);
--- a/crates/dispatch/src/core.rs
+++ b/crates/dispatch/src/core.rs
@@ -19,7 +19,7 @@
 
 /// An instance that handled no event for this long, in microseconds, counts as suspended: its
 /// knowledge of the other instances is too old to act on. A client that lost its entry submits its
-/// job again after 1,300 ms, and noticing that loss takes [`crate::peer::SILENT`].
+/// job again after 1,300 ms, and noticing that loss takes [`crate::peer::SILENCE_TIMEOUT`].
 const STALL_LIMIT: u64 = 600 * MS;
 
 /// When the wall clock advances this much more than the monotonic clock, in microseconds, the
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     /// Incarnation of the disk.
-    pub life: u64,
+    pub incarnation: u64,
     /// Recovered state of the consensus group.
     pub recovered: group::Recovered,
     /// Whether this is the first start of the whole system.
@@ -82,7 +82,7 @@
     /// The zones whose upstreams this instance knows, including its own zone.
     pub(crate) zones: collections::BTreeMap<name::Name, zone::Zone>,
     /// Entries of other zones that this keeper watches, as of the last tick.
-    pub(crate) backed: Vec<name::Name>,
+    pub(crate) watched_entries: Vec<name::Name>,
     /// Tasks that ran at lost upstreams.
     pub(crate) suspects: suspect::Suspects,
     pub(crate) submissions: submissions::Submissions,
@@ -93,10 +93,10 @@
     pub(crate) draining: bool,
     pub(crate) leads: bool,
     /// Versions newer than the active configuration, and when this instance learned of each.
-    pub(crate) told: collections::BTreeMap<u64, u64>,
+    pub(crate) newer_versions: collections::BTreeMap<u64, u64>,
     pub(crate) fetch: fetch::Fetch,
     /// Digest of the last saved [`Known`], and the time of that save.
-    pub(crate) kept: (u64, u64),
+    pub(crate) last_save: (u64, u64),
     pub(crate) last: Now,
     pub(crate) out: Vec<Output>,
 }
@@ -107,7 +107,7 @@
         let Config { me, seeds, lease, seed, cores, policy, zones, mut disk } = config;
         let known = disk.as_mut().map(|disk| std::mem::take(&mut disk.known)).unwrap_or_default();
         let control_log = disk.map(|disk| {
-            let member = name::Member::new(&me.name, disk.life);
+            let member = name::Member::new(&me.name, disk.incarnation);
             let founder = disk.first && seeds.contains(&me.name);
             let founders = founder.then_some(seeds.as_slice());
             control_log::ControlLog::new(member, disk.recovered, founders, now.mono, seed)
@@ -122,7 +122,7 @@
             claims: leadership::Claims::default(),
             table: upstream::Table::default(),
             zones: collections::BTreeMap::new(),
-            backed: Vec::new(),
+            watched_entries: Vec::new(),
             suspects: suspect::Suspects::default(),
             submissions: submissions::Submissions::default().with_policy(policy),
             control_log,
@@ -131,9 +131,9 @@
             named_zones: zones,
             draining: false,
             leads: false,
-            told: collections::BTreeMap::new(),
+            newer_versions: collections::BTreeMap::new(),
             fetch: fetch::Fetch::default(),
-            kept: (0, now.mono),
+            last_save: (0, now.mono),
             last: now,
             out: Vec::new(),
         };
@@ -144,14 +144,14 @@
 
     /// Handles one event and returns its effects.
     pub fn handle(&mut self, event: Event, now: Now) -> Vec<Output> {
-        self.tell(event, now);
-        self.settle(now)
+        self.apply(event, now);
+        self.take_outputs(now)
     }
 
-    /// Handles one event. The next [`Self::settle`] returns its effects: placing tasks once for
-    /// many events costs little more than placing them for one event.
-    pub fn tell(&mut self, event: Event, now: Now) {
-        self.notice_stop(now);
+    /// Handles one event. The next [`Self::take_outputs`] returns its effects: placing tasks once
+    /// for many events costs little more than placing them for one event.
+    pub fn apply(&mut self, event: Event, now: Now) {
+        self.detect_stop(now);
         match event {
             Event::Tick => self.tick(now),
             Event::Peer(from, body) => self.on_peer(&from, body, true, now),
@@ -164,10 +164,10 @@
                 let (view, submissions) = self.view(now);
                 submissions.submit(ticket, *job, view);
             }
-            Event::Left(ticket) => self.submissions.left(ticket),
+            Event::Disconnected(ticket) => self.submissions.disconnect(ticket),
             Event::Announce(ticket, record) => self.announce(ticket, &record, now),
-            Event::Unlisted(ticket, record) => self.unlisted(ticket, &record, now),
-            Event::Unread(id, why) => self.note(ANNOUNCEMENT_REFUSED, &id, why),
+            Event::UnknownService(ticket, record) => self.unlisted(ticket, &record, now),
+            Event::RejectedAnnouncement(id, why) => self.note(ANNOUNCEMENT_REFUSED, &id, why),
             Event::Withdraw(ticket, id) => self.withdraw(ticket, &id, now),
             Event::Publish(ticket, document) => match &mut self.control_log {
                 Some(control_log) => control_log.publish(ticket, document, now.mono),
@@ -177,14 +177,14 @@
                 self.order_evacuation(ticket, zone, evacuated, now);
             }
             Event::Read(ticket) => match &mut self.control_log {
-                Some(control_log) => control_log.read(ticket, now.mono),
+                Some(control_log) => control_log.query_newest(ticket, now.mono),
                 None => self.reply(ticket, Reply::Unavailable),
             },
             Event::Called(order::Answer { number, fence, took, outcome }) => {
                 let sched = self.scheds_mut().find(|sched| sched.expects(number));
                 if let Some(sched) = sched {
-                    sched.timed(number, took, &outcome, now.mono);
-                    sched.called(number, fence, outcome, now.mono);
+                    sched.record_latency(number, took, &outcome, now.mono);
+                    sched.process_outcome(number, fence, outcome, now.mono);
                 }
             }
             Event::Seeds(seeds) => {
@@ -195,19 +195,19 @@
     }
 
     /// Returns the effects of all events since the last call.
-    pub fn settle(&mut self, now: Now) -> Vec<Output> {
+    pub fn take_outputs(&mut self, now: Now) -> Vec<Output> {
         self.settle_parts(now);
         std::mem::take(&mut self.out)
     }
 
     /// Counts all other instances as silent after this instance was stopped. The wall clock reveals
     /// the stop if the monotonic clock was stopped as well.
-    pub(crate) fn notice_stop(&mut self, now: Now) {
+    pub(crate) fn detect_stop(&mut self, now: Now) {
         let last = std::mem::replace(&mut self.last, now);
         let wall = now.wall.saturating_sub(last.wall) * MS;
         let mono = now.mono.saturating_sub(last.mono);
         if wall > mono + CLOCK_GAP {
-            self.membership.stood_still(now.mono);
+            self.membership.reset_clocks(now.mono);
         }
         let elapsed = mono.max(wall);
         if elapsed < STALL_LIMIT {
@@ -225,7 +225,7 @@
 
     /// Whether this instance is ready to take requests of clients.
     pub fn is_ready(&self, now: Now) -> bool {
-        let reachable = |claim: &claim::Claim| self.membership.holds(claim, now.mono);
+        let reachable = |claim: &claim::Claim| self.membership.is_holder_alive(claim, now.mono);
         let configured = self.document.version > 0 && !self.is_outdated(now);
         !self.draining && configured && self.claims.iter().any(reachable)
     }
@@ -269,8 +269,8 @@
     }
 
     pub(crate) fn tick(&mut self, now: Now) {
-        self.backed = self.work_out_backed(now);
-        self.beat(now);
+        self.watched_entries = self.find_watched_entries(now);
+        self.send_heartbeats(now);
         self.fetch_newer(now);
         let table = &self.table;
         let is_gone = |id: &name::Name| {
@@ -278,7 +278,7 @@
         };
         self.zones.values_mut().for_each(|zone| zone.drop_lingering(is_gone));
         self.remember(now);
-        for name in self.membership.unresponsive(now.mono) {
+        for name in self.membership.streams_to_redial(now.mono) {
             self.note("peer: Nothing comes back, dialling anew.", &name, String::new());
             self.out.push(Output::Redial(name));
         }
@@ -312,13 +312,13 @@
 
     /// Saves the known upstreams and instances, on an instance with a disk.
     fn remember(&mut self, now: Now) {
-        let (former, at) = self.kept;
+        let (former, at) = self.last_save;
         let digest = self.table.changes() ^ self.membership.digest();
         if self.control_log.is_some() && now.mono >= at + SAVE_INTERVAL && digest != former {
-            self.kept = (digest, now.mono);
+            self.last_save = (digest, now.mono);
             let upstreams = self.table.all_present().cloned().collect();
-            let instances = self.membership.neighbours();
-            self.out.push(Output::Remember(Known { upstreams, instances }));
+            let instances = self.membership.recall_list();
+            self.out.push(Output::SaveKnown(Known { upstreams, instances }));
         }
     }
 
@@ -326,7 +326,7 @@
         if let Some(merged) = self.table.take(record.clone()) {
             let detail = format!("{:?} at {} in {}", record.phase, record.address, record.zone);
             self.note("upstream: Announced.", &record.id, detail);
-            self.spread(&merged, now);
+            self.send_record(&merged, now);
         }
         self.reply(ticket, Reply::Noted);
     }
@@ -344,23 +344,23 @@
     }
 
     pub(crate) fn withdraw(&mut self, ticket: Ticket, id: &name::Name, now: Now) {
-        if let Some(record) = self.table.bury(id, true) {
+        if let Some(record) = self.table.mark_gone(id, true) {
             self.note("upstream: Withdrawn.", id, String::new());
-            self.spread(&record, now);
+            self.send_record(&record, now);
         }
         self.reply(ticket, Reply::Noted);
     }
 
     /// Sends the record of an upstream to every instance that may schedule this upstream.
-    pub(crate) fn spread(&mut self, record: &upstream::Record, now: Now) {
-        self.tell_sched(record);
+    pub(crate) fn send_record(&mut self, record: &upstream::Record, now: Now) {
+        self.forward_record(record);
         let names: Vec<_> = self.membership.names().cloned().collect();
         for to in names {
             let interested = self
                 .membership
                 .peer(&to)
                 .and_then(|peer| peer.card.as_ref())
-                .is_some_and(|card| self.is_told(card, &record.zone));
+                .is_some_and(|card| self.receives_records(card, &record.zone));
             if interested {
                 self.send(&to, Body::Records(vec![record.clone()]), now);
             }
@@ -372,19 +372,19 @@
         if let Some(control_log) = &mut self.control_log {
             control_log.hand_over(now.mono);
         }
-        self.beat_all(now);
+        self.send_heartbeats_to_all(now);
     }
 
     /// Collects the effects of the schedulers, the submissions and the control log.
     pub(crate) fn settle_parts(&mut self, now: Now) {
         for zone in self.scheduled_zones() {
-            self.settle_findings(&zone, now);
-            self.settle_sched(&zone, now);
+            self.apply_findings(&zone, now);
+            self.apply_output(&zone, now);
         }
         let submissions = self.submissions.take();
         for (to, body) in submissions.sends {
             if let Body::Submit(_, job, _) = &body {
-                self.tell_former(&to, &job.id, now);
+                self.send_former_losses(&to, &job.id, now);
             }
             self.send(&to, body, now);
         }
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The zone is in the state that the order asks for.
-    Held,
+    InForce,
     /// The set of evacuated zones has changed since the order was given.
     Stale,
 }
@@ -42,7 +42,7 @@
     ///
     /// let mut held = evacuation::Evacuations::default();
     /// let order = evacuation::Order { zone: "west".into(), evacuated: true, base: 0 };
-    /// assert_eq!(held.apply(&order), evacuation::Outcome::Held);
+    /// assert_eq!(held.apply(&order), evacuation::Outcome::InForce);
     /// assert!(held.has(&"west".into()) && !held.has(&"east".into()));
     /// ```
     pub fn has(&self, zone: &name::Name) -> bool {
@@ -50,10 +50,10 @@
     }
 
     /// Applies an order. The result of an order that asks for the present state of the zone is
-    /// [`Outcome::Held`], whatever the order's base is.
+    /// [`Outcome::InForce`], whatever the order's base is.
     pub fn apply(&mut self, order: &Order) -> Outcome {
         if self.has(&order.zone) == order.evacuated {
-            return Outcome::Held;
+            return Outcome::InForce;
         }
         if order.base != self.revision {
             return Outcome::Stale;
@@ -64,7 +64,7 @@
         } else {
             self.zones.retain(|zone| *zone != order.zone);
         }
-        Outcome::Held
+        Outcome::InForce
     }
 
     /// Names of the zones, separated by spaces, for display.
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -19,14 +19,14 @@
     /// A client submits a job.
     Submit(Ticket, Box<job::Job>),
     /// The client of this ticket has disconnected.
-    Left(Ticket),
+    Disconnected(Ticket),
     /// An upstream announces itself.
     Announce(Ticket, upstream::Record),
     /// An upstream announces itself for a service that is missing from this instance's active
     /// configuration.
-    Unlisted(Ticket, upstream::Record),
+    UnknownService(Ticket, upstream::Record),
     /// An announcement under this id is rejected, with the reason.
-    Unread(name::Name, String),
+    RejectedAnnouncement(name::Name, String),
     /// An upstream announces that it shuts down.
     Withdraw(Ticket, name::Name),
     /// The operator publishes a configuration.
@@ -56,7 +56,7 @@
     /// Write a change of the replicated configuration to disk.
     Save(u64, coord::raft::Save),
     /// Save the upstreams and instances that this instance knows, replacing the previous save.
-    Remember(Known),
+    SaveKnown(Known),
     /// Call an upstream.
     Call(order::Call),
     /// Answer a ticket.
--- a/crates/dispatch/src/fetch.rs
+++ b/crates/dispatch/src/fetch.rs
@@ -9,7 +9,7 @@
 use state::name;
 
 use crate::{
-    message::{Ask, Document, Part},
+    message::{Document, Part, PartRequest},
     time,
 };
 
@@ -30,22 +30,22 @@
 
 /// Result of taking a part.
 #[derive(Debug, PartialEq)]
-pub enum Taken {
+pub enum Progress {
     /// The configuration is incomplete; the next part has to be requested.
-    More(Ask),
+    More(PartRequest),
     /// The configuration is complete.
-    Whole(Document),
+    Complete(Document),
     /// The part does not continue the download, or is empty before the end.
-    Unneeded,
+    Ignored,
 }
 
-/// The part of `document` that `ask` requests, or `None` if `document` is older. A newer document
-/// is sent from its first byte.
-pub fn part(document: &Document, ask: Ask) -> Option<Part> {
-    if document.version < ask.version {
+/// The part of `document` that `request` asks for, or `None` if `document` is older. A newer
+/// document is sent from its first byte.
+pub fn part(document: &Document, request: PartRequest) -> Option<Part> {
+    if document.version < request.version {
         return None;
     }
-    let offset = if document.version == ask.version { ask.offset as usize } else { 0 };
+    let offset = if document.version == request.version { request.offset as usize } else { 0 };
     let rest = document.body.slice(offset.min(document.body.len())..);
     Some(Part {
         version: document.version,
@@ -82,7 +82,7 @@
         version: u64,
         sources: &[&name::Name],
         now: u64,
-    ) -> Option<(name::Name, Ask)> {
+    ) -> Option<(name::Name, PartRequest)> {
         if version > self.version {
             *self = Self { version, ..Self::default() };
         } else if let Some(former) = self.source.take() {
@@ -96,30 +96,30 @@
         self.source = Some((*source).clone());
         self.first_asked.get_or_insert(now);
         self.asked_at = now;
-        Some(((*source).clone(), self.next_ask()))
+        Some(((*source).clone(), self.next_request()))
     }
 
     /// Takes a part from `from`.
-    pub fn take(&mut self, from: &name::Name, part: &Part, now: u64) -> Taken {
+    pub fn take(&mut self, from: &name::Name, part: &Part, now: u64) -> Progress {
         if part.version > self.version && part.offset == 0 {
             *self = Self { version: part.version, ..Self::default() };
         }
         if part.version != self.version || part.offset != self.received.len() as u64 {
-            return Taken::Unneeded;
+            return Progress::Ignored;
         }
         self.received.extend_from_slice(&part.bytes);
         if part.bytes.is_empty() && part.size > self.received.len() as u64 {
             // The source has no more bytes although the configuration is incomplete.
-            return Taken::Unneeded;
+            return Progress::Ignored;
         }
         if self.received.len() as u64 >= part.size {
             let body = std::mem::take(self).received.into();
-            return Taken::Whole(Document { version: part.version, body });
+            return Progress::Complete(Document { version: part.version, body });
         }
         self.source = Some(from.clone());
         self.part_time = self.first_asked.map_or(0, |asked| now.saturating_sub(asked));
         (self.asked_at, self.first_asked, self.timeouts) = (now, Some(now), 0);
-        Taken::More(self.next_ask())
+        Progress::More(self.next_request())
     }
 
     /// Cancels the download if its version is not newer than `version`.
@@ -133,7 +133,7 @@
         PART_TIMEOUT.max(TIMEOUT_FACTOR * self.part_time) << self.timeouts.min(MAX_DOUBLINGS)
     }
 
-    fn next_ask(&self) -> Ask {
-        Ask { version: self.version, offset: self.received.len() as u64 }
+    fn next_request(&self) -> PartRequest {
+        PartRequest { version: self.version, offset: self.received.len() as u64 }
     }
 }
--- a/crates/dispatch/src/handback.rs
+++ b/crates/dispatch/src/handback.rs
@@ -4,7 +4,7 @@
 use state::name;
 
 use crate::{
-    active::{self, Active},
+    active::{self, ActiveJob},
     job::Verdict,
     message,
     sched::Sched,
@@ -25,7 +25,7 @@
             if !std::mem::take(&mut active.offer) {
                 continue;
             }
-            let tasks = active.give_back(active::Return::Unstarted);
+            let tasks = active.give_back(active::ReturnScope::Unstarted);
             self.return_tasks(&id, tasks, now);
         }
     }
@@ -35,12 +35,12 @@
     pub(crate) fn return_all(&mut self, now: u64) {
         let unread = self.sessions.values().any(|session| !session.is_read());
         let is_returnable =
-            |active: &Active| active.waiting() > 0 && !active.is_blocked(unread, now);
+            |active: &ActiveJob| active.waiting() > 0 && !active.is_blocked(unread, now);
         let returnable = self.jobs.iter().filter(|(_, active)| is_returnable(active));
         for id in returnable.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             let Some(active) = self.jobs.get_mut(&id) else { continue };
             if active.is_movable() {
-                let tasks = active.give_back(active::Return::Waiting);
+                let tasks = active.give_back(active::ReturnScope::Waiting);
                 self.return_tasks(&id, tasks, now);
             } else if !active.is_running() {
                 self.note("job: Given up, its zone is evacuated between its steps.", &id, "");
@@ -56,7 +56,7 @@
         if self.jobs.get(id).is_some_and(|active| active.held().is_empty()) {
             self.drop_job(id);
         }
-        self.settle(id, now);
+        self.finish_if_complete(id, now);
     }
 
     /// Gives tasks of a job back to its entry.
@@ -64,7 +64,7 @@
         let load = self.load(now);
         let Some(active) = self.jobs.get(id) else { return };
         let (entry, number) = (active.entry.clone(), active.number);
-        let begun = active.has_run(&tasks);
+        let may_have_started = active.has_run(&tasks);
         let cause = if self.evacuated { ", the zone is evacuated" } else { "" };
         let detail = format!(
             "{} tasks to {entry}, {}m of {}m cores free{cause}",
@@ -73,7 +73,7 @@
             load.total
         );
         self.note("job: Gave tasks back.", id, &detail);
-        let spare = message::Spare { number, tasks, load, begun };
+        let spare = message::ReturnedTasks { number, tasks, load, may_have_started };
         self.out.spares.push((entry, id.clone(), spare));
     }
 }
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -25,7 +25,7 @@
 
 impl Health {
     /// Records a run that completed.
-    pub fn good(&mut self) {
+    pub fn record_success(&mut self) {
         self.record(false);
         if self.trial {
             self.trial = false;
@@ -37,7 +37,7 @@
     }
 
     /// Records a run that failed or made no progress, and returns whether this ejects the upstream.
-    pub fn bad(&mut self, now: u64) -> bool {
+    pub fn record_failure(&mut self, now: u64) -> bool {
         self.record(true);
         let unhealthy = self.trial || self.results.count_ones() >= EJECT_THRESHOLD;
         if unhealthy && now >= self.ejected_until {
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -48,13 +48,13 @@
     /// Whether another scheduler may have started tasks of the job.
     pub resumed: bool,
     /// The entry's monotonic clock when it submitted the job, microseconds.
-    pub stamp: u64,
+    pub entry_clock: u64,
 }
 
 impl Job {
     /// Length of the critical path by the estimates, milliseconds.
-    pub fn chain(&self) -> u64 {
-        chain(&self.steps)
+    pub fn critical_path(&self) -> u64 {
+        critical_path(&self.steps)
     }
 
     /// Whether several schedulers may share the tasks: the tasks of a single step wait for no other
@@ -69,18 +69,18 @@
     }
 
     /// Cores that the largest task needs, thousandths.
-    pub fn widest(&self) -> u64 {
+    pub fn max_cpu(&self) -> u64 {
         self.steps.iter().map(|step| step.need.cpu).max().unwrap_or(0)
     }
 
     /// Cores that the smallest task needs, thousandths.
-    pub fn least(&self) -> u64 {
+    pub fn min_cpu(&self) -> u64 {
         self.steps.iter().map(|step| step.need.cpu).min().unwrap_or(0)
     }
 }
 
 /// Length of the critical path through the steps by their estimates, milliseconds.
-pub fn chain(steps: &[Step]) -> u64 {
+pub fn critical_path(steps: &[Step]) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for step in steps {
         let end = |before: &u32| ends.get(*before as usize).copied().unwrap_or(0);
--- a/crates/dispatch/src/leadership.rs
+++ b/crates/dispatch/src/leadership.rs
@@ -9,7 +9,7 @@
 use state::name;
 
 use crate::{
-    claim::{Claim, NEXT_FENCE, OWNER_BITS},
+    claim::{Claim, FENCE_STEP, OWNER_BITS},
     evacuation, member, membership, time,
 };
 
@@ -30,7 +30,7 @@
 /// [`CLAIM_GRACE`] of an entry that has too little processor time for the zone, microseconds: after
 /// a restart of the whole system such an entry met the keeper of its zone 330 ms after it had
 /// received that keeper's claim.
-const WEAK_GRACE: u64 = 1_000 * time::MS;
+const LOW_CAPACITY_GRACE: u64 = 1_000 * time::MS;
 /// An instance waits this long for each candidate that ranks before it, microseconds: two
 /// heartbeats.
 const RANK_DELAY: u64 = 300 * time::MS;
@@ -63,7 +63,7 @@
     /// nothing to schedule.
     pub equipped: bool,
     /// Whether scheduling the zone would take more processor time than it has.
-    pub weak: bool,
+    pub low_capacity: bool,
 }
 
 /// What an instance records to decide when it claims a zone.
@@ -114,7 +114,7 @@
     /// With the schedulers of all zones, the number of heartbeats would grow with the product of
     /// zones and instances. If its own zone is evacuated the instance needs the room of all other
     /// zones.
-    pub fn watched<'a>(
+    pub fn monitored<'a>(
         &'a self,
         zone: &'a name::Name,
         evacuations: &'a evacuation::Evacuations,
@@ -132,7 +132,7 @@
 
     /// Whether the holder of the highest claim to `zone` is alive and not draining.
     pub fn is_led(&self, zone: &name::Name, membership: &membership::Membership, now: u64) -> bool {
-        self.of(zone).is_some_and(|claim| membership.holds(claim, now))
+        self.of(zone).is_some_and(|claim| membership.is_holder_alive(claim, now))
     }
 
     /// Claims this instance's own zone if no instance of the zone receives heartbeats of a
@@ -154,9 +154,9 @@
         let led = self.is_led(zone, membership, now.mono) || membership.zone_peer_is_led(now.mono);
         let led = led && !abandoned;
         let entry = me.role == member::Role::Entry;
-        let unfit = entry && (!candidate.equipped || candidate.weak);
+        let unfit = entry && (!candidate.equipped || candidate.low_capacity);
         let earliest = membership.start() + if unfit { UNFIT_WAIT } else { STARTUP_WAIT };
-        let grace = if entry && candidate.weak { WEAK_GRACE } else { CLAIM_GRACE };
+        let grace = if entry && candidate.low_capacity { LOW_CAPACITY_GRACE } else { CLAIM_GRACE };
         let candidacy = self.candidacy(zone);
         let early = now.mono < earliest.max(candidacy.blocked_until);
         if led || early || candidacy.is_recent(grace, now.mono) && !abandoned {
@@ -166,8 +166,8 @@
         let vacant = *candidacy.vacant_since.get_or_insert(now.mono);
         let isolated = if membership.is_cut_off(now.mono) { ISOLATED_DELAY } else { 0 };
         // A keeper of another zone has more processor time to spare, so it may claim first.
-        let weak_delay = if entry && candidate.weak { RANK_DELAY } else { 0 };
-        if now.mono < vacant + turn(membership, now.mono) + isolated + weak_delay {
+        let capacity_delay = if entry && candidate.low_capacity { RANK_DELAY } else { 0 };
+        if now.mono < vacant + rank_delay(membership, now.mono) + isolated + capacity_delay {
             return None;
         }
         candidacy.vacant_since = None;
@@ -200,7 +200,7 @@
             return None;
         }
         let vacant = *candidacy.vacant_since.get_or_insert(now.mono);
-        if now.mono < vacant + membership.before(zone, now.mono) as u64 * RANK_DELAY {
+        if now.mono < vacant + membership.keepers_before(zone, now.mono) as u64 * RANK_DELAY {
             return None;
         }
         candidacy.vacant_since = None;
@@ -214,7 +214,7 @@
         let lent = self.of(&me.zone).is_some_and(|claim| {
             let card = membership.peer(&claim.holder).and_then(|peer| peer.card.as_ref());
             membership.is_direct(&claim.holder, now)
-                && membership.holds(claim, now)
+                && membership.is_holder_alive(claim, now)
                 && card.is_some_and(|card| card.role == member::Role::Entry || card.zone != me.zone)
         });
         let first = membership.zone_peers(now).all(|card| card.rank() > me.rank());
@@ -251,15 +251,20 @@
     }
 
     /// Claims a zone above an unknown scheduler that has a higher fencing token.
-    pub fn supersede(&mut self, me: &member::Card, zone: &name::Name, now: time::Now) -> Claim {
+    pub fn outbid(&mut self, me: &member::Card, zone: &name::Name, now: time::Now) -> Claim {
         self.issue_claim(me, zone, time::Now::new(now.mono, now.wall + EPOCH_JUMP))
     }
 
     fn issue_claim(&mut self, me: &member::Card, zone: &name::Name, now: time::Now) -> Claim {
         let former = self.of(zone).map_or(0, |claim| (claim.epoch >> OWNER_BITS) + 1);
-        let owner = xxhash_rust::xxh3::xxh3_64(me.name.as_str().as_bytes()) % NEXT_FENCE;
+        let owner = xxhash_rust::xxh3::xxh3_64(me.name.as_str().as_bytes()) % FENCE_STEP;
         let epoch = now.wall.max(former) << OWNER_BITS | owner;
-        let claim = Claim { zone: zone.clone(), epoch, holder: me.name.clone(), life: me.life };
+        let claim = Claim {
+            zone: zone.clone(),
+            epoch,
+            holder: me.name.clone(),
+            incarnation: me.incarnation,
+        };
         self.merge(&claim, now.mono);
         claim
     }
@@ -274,7 +279,7 @@
 
 /// How long this instance waits for the instances of its zone that rank before it to claim first,
 /// microseconds.
-pub fn turn(membership: &membership::Membership, now: u64) -> u64 {
+pub fn rank_delay(membership: &membership::Membership, now: u64) -> u64 {
     let me = membership.me();
     let better = membership.zone_peers(now).filter(|card| card.rank() < me.rank()).count();
     better as u64 * RANK_DELAY
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -25,7 +25,7 @@
 //! | --- | --- | --- |
 //! | which zone gets a task | one zone is full, others are not | [`submissions`], [`share`] |
 //! | job order, refusal of late jobs | arrivals near capacity and above | [`queue`] |
-//! | which job is refused on arrival | queues longer than any objective | [`queue::refuse`] |
+//! | which job is refused on arrival | queues longer than any objective | [`queue::refusal_delay`] |
 //! | which upstream gets a task | more jobs than fit, tasks of 10 to 20 cores | [`place`] |
 //! | capacity after a refused task | capacity that shrinks without notice | [`capacity_limit`] |
 //! | which upstreams are ejected, which tasks stopped | upstreams that fail or hang | [`health`] |
@@ -41,7 +41,7 @@
 //!     name: "10.0.0.1:7000".into(),
 //!     zone: "west".into(),
 //!     role: member::Role::Entry,
-//!     life: 1_800_000_000_000,
+//!     incarnation: 1_800_000_000_000,
 //! };
 //! let policy = state::policy::Policy::default();
 //! let (seeds, zones, cores) = (Vec::new(), Vec::new(), 1_000);
--- a/crates/dispatch/src/member.rs
+++ b/crates/dispatch/src/member.rs
@@ -24,7 +24,7 @@
     /// Its role.
     pub role: Role,
     /// Incarnation: the wall clock when the process started, in milliseconds.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl Card {
--- a/crates/dispatch/src/membership.rs
+++ b/crates/dispatch/src/membership.rs
@@ -10,13 +10,13 @@
 
 use crate::{
     claim, member, message,
-    peer::{FORGET, Peer, SILENT},
+    peer::{FORGET_AFTER, Peer, SILENCE_TIMEOUT},
     redial, time, watch_list,
 };
 
 /// Interval between two heartbeats to the same instance, microseconds. Three intervals fit into
-/// [`SILENT`], so that two heartbeats in a row may be lost.
-pub const PING: u64 = 150 * time::MS;
+/// [`SILENCE_TIMEOUT`], so that two heartbeats in a row may be lost.
+pub const HEARTBEAT_INTERVAL: u64 = 150 * time::MS;
 /// Heartbeats that arrive within this time after a stop of this instance were sent before the stop
 /// ended, microseconds.
 const STALE_TIME: u64 = 50 * time::MS;
@@ -91,7 +91,7 @@
 
     /// The instances to contact after a restart, sorted by name: up to `MAX_RECALLED`, where
     /// keepers come first, then instances of its zone, then the others by rank.
-    pub fn neighbours(&self) -> Vec<name::Name> {
+    pub fn recall_list(&self) -> Vec<name::Name> {
         let cards = self.peers.values().filter_map(|peer| peer.card.as_ref());
         let mut cards: Vec<_> = cards.collect();
         cards.sort_by_key(|card| {
@@ -142,20 +142,20 @@
             return Some(now);
         }
         let peer = self.peers.get(name).filter(|peer| peer.is_alive(now))?;
-        peer.ahead.map(|ahead| ahead.clock(now))
+        peer.clock_bound.map(|bound| bound.clock(now))
     }
 
     /// Summary of the last heartbeat from an instance, to be sent back to it.
-    pub fn last_heard(&self, name: &name::Name) -> Option<message::Heard> {
+    pub fn last_heartbeat(&self, name: &name::Name) -> Option<message::Heard> {
         let peer = self.peers.get(name)?;
         let ping = peer.ping.as_ref()?;
-        let (life, clock, upstreams) = (ping.card.life, ping.clock, ping.upstreams);
+        let (incarnation, clock, upstreams) = (ping.card.incarnation, ping.clock, ping.upstreams);
         let adopted = ping
             .adopted
             .iter()
             .map(|adopted_zone| (adopted_zone.zone.clone(), adopted_zone.upstreams))
             .collect();
-        Some(message::Heard { life, clock, at: peer.read, upstreams, adopted })
+        Some(message::Heard { incarnation, clock, at: peer.read, upstreams, adopted })
     }
 
     /// Whether heartbeats to and from the instance arrive without a relay.
@@ -165,12 +165,12 @@
 
     /// Whether the holder of a claim is alive, has the incarnation of the claim, and is not
     /// draining.
-    pub fn holds(&self, claim: &claim::Claim, now: u64) -> bool {
+    pub fn is_holder_alive(&self, claim: &claim::Claim, now: u64) -> bool {
         if claim.holder == self.me.name {
-            return claim.life == self.me.life;
+            return claim.incarnation == self.me.incarnation;
         }
         self.peers.get(&claim.holder).is_some_and(|peer| {
-            let same = peer.card.as_ref().is_some_and(|card| card.life == claim.life);
+            let same = peer.card.as_ref().is_some_and(|card| card.incarnation == claim.incarnation);
             same && peer.is_alive(now) && !peer.is_draining()
         })
     }
@@ -186,57 +186,59 @@
     /// ask them: first those with a direct connection, and among these keepers before entries and
     /// this zone before others. The order among equals differs from instance to instance, so that
     /// no source serves all.
-    pub fn holders(&self, version: u64, now: u64) -> Vec<&name::Name> {
+    pub fn sources(&self, version: u64, now: u64) -> Vec<&name::Name> {
         let has = |peer: &Peer| peer.ping.as_ref().is_some_and(|ping| ping.version >= version);
         let alive = self.peers.iter().filter(|(_, peer)| peer.is_alive(now) && has(peer));
         let mut holders: Vec<_> = alive.collect();
-        let own = short(&self.me.name);
+        let own = name_hash(&self.me.name);
         holders.sort_by_key(|(name, peer)| {
             let card = peer.card.as_ref();
             let keeper = card.is_some_and(|card| card.role == member::Role::Keeper);
             let near = card.is_some_and(|card| card.zone == self.me.zone);
-            (!peer.is_direct(now), !keeper, !near, short(name) ^ own)
+            (!peer.is_direct(now), !keeper, !near, name_hash(name) ^ own)
         });
         holders.into_iter().map(|(name, _)| name).collect()
     }
 
     /// Records a heartbeat; returns true if it is the first of its sender's incarnation.
-    pub fn heard(&mut self, ping: message::Ping, direct: bool, now: u64) -> bool {
+    pub fn record_heartbeat(&mut self, ping: message::Ping, direct: bool, now: u64) -> bool {
         let name = ping.card.name.clone();
         let fresh = Peer { since: now, ..Peer::default() };
         let peer = self.peers.entry(name).or_insert(fresh);
-        let known = peer.card.as_ref().map_or(0, |card| card.life);
-        let later =
-            |held: &message::Ping| held.card.life == ping.card.life && held.clock > ping.clock;
-        if ping.card.life < known || peer.ping.as_ref().is_some_and(later) {
+        let known = peer.card.as_ref().map_or(0, |card| card.incarnation);
+        let later = |held: &message::Ping| {
+            held.card.incarnation == ping.card.incarnation && held.clock > ping.clock
+        };
+        if ping.card.incarnation < known || peer.ping.as_ref().is_some_and(later) {
             return false;
         }
         // The last heartbeat decides, not the card: the list of another instance may have brought
         // the new incarnation before.
-        let former = peer.ping.as_ref().map(|held| held.card.life);
-        let first = former.is_none_or(|life| life < ping.card.life);
+        let former = peer.ping.as_ref().map(|held| held.card.incarnation);
+        let first = former.is_none_or(|incarnation| incarnation < ping.card.incarnation);
         if first {
-            peer.ahead = None;
+            peer.clock_bound = None;
         }
         peer.read = now;
         let proof = ping.heard.as_ref().filter(|heard| {
-            heard.life == self.me.life && (self.clock_resumed..=now).contains(&heard.clock)
+            heard.incarnation == self.me.incarnation
+                && (self.clock_resumed..=now).contains(&heard.clock)
         });
-        peer.compare(proof, ping.clock, now);
+        peer.update_bound(proof, ping.clock, now);
         let trusted = now >= self.distrust_until;
         if trusted {
-            peer.heard = now;
+            peer.heartbeat_at = now;
         }
-        if trusted && ping.chosen {
-            peer.chosen = now;
+        if trusted && ping.watching {
+            peer.watched_at = now;
         }
         if direct && trusted {
-            if now >= peer.direct + SILENT {
-                peer.met = now;
+            if now >= peer.direct_at + SILENCE_TIMEOUT {
+                peer.direct_since = now;
             }
-            peer.direct = now;
+            peer.direct_at = now;
             if ping.echo {
-                let former = std::mem::replace(&mut peer.echoed, now);
+                let former = std::mem::replace(&mut peer.echo_at, now);
                 self.redial_budget.answered(&mut peer.stream, former, now);
             }
         }
@@ -252,20 +254,20 @@
     /// `STALE_TIME` as old: they waited while this instance was stopped.
     pub fn suspect_all(&mut self, now: u64) {
         self.distrust_until = now + STALE_TIME;
-        self.stood_still(now);
+        self.reset_clocks(now);
         for peer in self.peers.values_mut() {
-            peer.heard = 0;
-            peer.direct = 0;
-            peer.echoed = 0;
+            peer.heartbeat_at = 0;
+            peer.direct_at = 0;
+            peer.echo_at = 0;
         }
     }
 
     /// Handles that this instance's clock stood still until now: the bounds on the clocks of other
     /// instances are invalid, and so are their reports of earlier heartbeats of this one.
-    pub fn stood_still(&mut self, now: u64) {
+    pub fn reset_clocks(&mut self, now: u64) {
         self.clock_resumed = now;
         for peer in self.peers.values_mut() {
-            peer.ahead = None;
+            peer.clock_bound = None;
         }
     }
 
@@ -273,35 +275,38 @@
     /// and returns whether that was necessary: the time of day was set back since the former
     /// incarnation began, or this instance stood still for so long that the others have forgotten
     /// it and would not accept it.
-    pub fn raise_life(
+    pub fn raise_incarnation(
         &mut self,
         cards: &[member::Card],
         gone: &[(name::Name, u64)],
         now: u64,
     ) -> bool {
-        let known = cards.iter().filter(|card| card.name == self.me.name).map(|card| card.life);
-        let known = known.filter(|life| *life > self.me.life);
+        let known =
+            cards.iter().filter(|card| card.name == self.me.name).map(|card| card.incarnation);
+        let known = known.filter(|incarnation| *incarnation > self.me.incarnation);
         let forgotten = gone.iter().filter(|(name, _)| *name == self.me.name);
-        let forgotten = forgotten.map(|(_, life)| *life).filter(|life| *life >= self.me.life);
+        let forgotten = forgotten
+            .map(|(_, incarnation)| *incarnation)
+            .filter(|incarnation| *incarnation >= self.me.incarnation);
         let Some(last) = known.chain(forgotten).max() else { return false };
-        self.me.life = last + 1;
+        self.me.incarnation = last + 1;
         self.refresh(now);
         true
     }
 
     /// Merges the list of instances that another one knows or has forgotten; returns those that
     /// this instance forgets, too, for that reason.
-    pub fn learn(
+    pub fn merge_members(
         &mut self,
         cards: Vec<member::Card>,
         gone: Vec<(name::Name, u64)>,
         now: u64,
     ) -> Vec<name::Name> {
         let mut lost = Vec::new();
-        for (name, life) in gone {
+        for (name, incarnation) in gone {
             let stale = self.peers.get(&name).is_some_and(|peer| {
-                let old = peer.card.as_ref().is_some_and(|card| card.life <= life);
-                old && now >= peer.heard + FORGET
+                let old = peer.card.as_ref().is_some_and(|card| card.incarnation <= incarnation);
+                old && now >= peer.heartbeat_at + FORGET_AFTER
             });
             if stale && !self.seeds.contains(&name) {
                 self.peers.remove(&name);
@@ -309,17 +314,20 @@
             }
             if !self.peers.contains_key(&name) {
                 let held = self.tombstones.entry(name).or_default();
-                *held = life.max(*held);
+                *held = incarnation.max(*held);
             }
         }
         for card in cards {
-            let stale = self.tombstones.get(&card.name).is_some_and(|life| card.life <= *life);
+            let stale = self
+                .tombstones
+                .get(&card.name)
+                .is_some_and(|incarnation| card.incarnation <= *incarnation);
             if card.name == self.me.name || stale {
                 continue;
             }
             let fresh = Peer { since: now, ..Peer::default() };
             let peer = self.peers.entry(card.name.clone()).or_insert(fresh);
-            if peer.card.as_ref().is_none_or(|held| held.life < card.life) {
+            if peer.card.as_ref().is_none_or(|held| held.incarnation < card.incarnation) {
                 peer.card = Some(card);
             }
         }
@@ -330,14 +338,15 @@
     /// Whether a known instance was forgotten in its present incarnation, so that other instances
     /// do not accept it from a list.
     pub fn is_forgotten(&self, name: &name::Name) -> bool {
-        let life = self.peers.get(name).and_then(|peer| Some(peer.card.as_ref()?.life));
+        let incarnation =
+            self.peers.get(name).and_then(|peer| Some(peer.card.as_ref()?.incarnation));
         let last = self.tombstones.get(name);
-        last.is_some_and(|last| life.is_some_and(|life| life <= *last))
+        last.is_some_and(|last| incarnation.is_some_and(|incarnation| incarnation <= *last))
     }
 
     /// The forgotten instances, each with its last incarnation.
-    pub fn gone(&self) -> Vec<(name::Name, u64)> {
-        self.tombstones.iter().map(|(name, life)| (name.clone(), *life)).collect()
+    pub fn tombstones(&self) -> Vec<(name::Name, u64)> {
+        self.tombstones.iter().map(|(name, incarnation)| (name.clone(), *incarnation)).collect()
     }
 
     /// The cards of all known instances, including this one.
@@ -353,17 +362,18 @@
 
     /// Recomputes the digest and the watch list, which follow from the list of instances.
     fn refresh(&mut self, now: u64) {
-        let one = |name: &name::Name, life: u64| {
-            xxhash_rust::xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), life)
+        let one = |name: &name::Name, incarnation: u64| {
+            xxhash_rust::xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), incarnation)
         };
         let others = || self.peers.values().filter_map(|peer| peer.card.as_ref());
-        let hashes = others().map(|card| one(&card.name, card.life));
-        self.digest = hashes.fold(one(&self.me.name, self.me.life), |sum, hash| sum ^ hash);
+        let hashes = others().map(|card| one(&card.name, card.incarnation));
+        self.digest = hashes.fold(one(&self.me.name, self.me.incarnation), |sum, hash| sum ^ hash);
         self.watch_list = watch_list::WatchList::new(others().chain([&self.me]));
         for peer in self.peers.values_mut() {
-            let ought = peer.card.as_ref().is_none_or(|card| self.watch_list.ought(&self.me, card));
-            let ought_before = std::mem::replace(&mut peer.ought, ought);
-            if ought && !ought_before {
+            let linked =
+                peer.card.as_ref().is_none_or(|card| self.watch_list.linked(&self.me, card));
+            let was_linked = std::mem::replace(&mut peer.linked, linked);
+            if linked && !was_linked {
                 // The time of its silence counts from now.
                 peer.since = now;
             }
@@ -372,25 +382,25 @@
 
     /// Whether the watch list says that this instance monitors the instance of `card`.
     pub(crate) fn is_watched(&self, card: &member::Card) -> bool {
-        self.watch_list.hears(&self.me, card, self.window.size())
+        self.watch_list.watches(&self.me, card, self.window.size())
     }
 
     /// Whether there are so few instances that each monitors all instances of its zone and all
     /// keepers.
-    pub fn is_few(&self) -> bool {
-        self.watch_list.is_few()
+    pub fn is_small(&self) -> bool {
+        self.watch_list.is_small()
     }
 
     /// Whether an instance receives news of a zone's upstreams without scheduling the zone.
-    pub fn is_told(&self, card: &member::Card, zone: &name::Name) -> bool {
-        self.watch_list.is_told(card, zone)
+    pub fn receives_records(&self, card: &member::Card, zone: &name::Name) -> bool {
+        self.watch_list.receives_records(card, zone)
     }
 
     /// Monitors more instances of the zone while the zone has no known scheduler. `leads` says that
     /// this instance schedules it.
-    pub fn widen(&mut self, leads: bool, led: bool, now: u64) {
+    pub fn update_window(&mut self, leads: bool, led: bool, now: u64) {
         let knows = leads || self.me.role == member::Role::Keeper;
-        self.window.set(knows, led, self.start + SILENT, now);
+        self.window.set(knows, led, self.start + SILENCE_TIMEOUT, now);
     }
 
     /// Whether this instance wants heartbeats from another one; `used` says that it works with that
@@ -424,40 +434,43 @@
             return Vec::new();
         }
         // All heartbeats go at once: one wake-up of the sender serves them all.
-        self.next_heartbeat = now + PING;
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let mut due = Vec::new();
         for (name, peer) in &mut self.peers {
             let near = peer.card.as_ref();
-            let near = near.is_none_or(|c| self.watch_list.hears(&self.me, c, self.window.size()));
-            let answered = peer.chosen > 0 && now < peer.chosen + ANSWER_TIME;
+            let near =
+                near.is_none_or(|c| self.watch_list.watches(&self.me, c, self.window.size()));
+            let answered = peer.watched_at > 0 && now < peer.watched_at + ANSWER_TIME;
             if near || answered || used(name) {
-                peer.due.get_or_insert(now);
+                peer.sending_since.get_or_insert(now);
                 peer.answers = !near && !used(name);
                 due.push(name.clone());
             } else {
-                peer.due = None;
+                peer.sending_since = None;
             }
         }
         due
     }
 
-    /// Whether a heartbeat came directly from the instance within [`SILENT`]. Heartbeats to that
-    /// instance report this.
+    /// Whether a heartbeat came directly from the instance within [`SILENCE_TIMEOUT`].
+    /// Heartbeats to that instance report this.
     pub fn echo(&self, name: &name::Name, now: u64) -> bool {
-        self.peers.get(name).is_some_and(|peer| peer.direct > 0 && now < peer.direct + SILENT)
+        self.peers
+            .get(name)
+            .is_some_and(|peer| peer.direct_at > 0 && now < peer.direct_at + SILENCE_TIMEOUT)
     }
 
     /// Instances whose streams seem dead and may be dialled again now.
-    pub fn unresponsive(&mut self, now: u64) -> Vec<name::Name> {
+    pub fn streams_to_redial(&mut self, now: u64) -> Vec<name::Name> {
         self.redial_budget.refill(now);
-        let own = short(&self.me.name);
+        let own = name_hash(&self.me.name);
         let streams = || self.peers.values().filter_map(|peer| peer.answered(now));
         let silent = streams().filter(|answered| redial::is_silent(*answered, now)).count();
         let most = silent * 2 >= streams().count();
         let mut dead = Vec::new();
         for (name, peer) in &mut self.peers {
             let Some(answered) = peer.answered(now) else { continue };
-            if peer.stream.is_due(answered, most, short(name) ^ own, now)
+            if peer.stream.is_due(answered, most, name_hash(name) ^ own, now)
                 && self.redial_budget.spend(&mut peer.stream, now)
             {
                 dead.push(name.clone());
@@ -471,19 +484,20 @@
         self.redial_budget.count()
     }
 
-    /// Forgets monitored instances that have been silent for `FORGET`, and returns their names.
-    /// The loss of instances that this one does not monitor comes from the lists of others.
+    /// Forgets monitored instances that have been silent for `FORGET_AFTER`, and returns their
+    /// names. The loss of instances that this one does not monitor comes from the lists of others.
     pub fn forget(&mut self, now: u64) -> Vec<name::Name> {
         let seeds = &self.seeds;
         let gone = |(name, peer): (&name::Name, &Peer)| {
-            let last = peer.heard.max(peer.since).max(self.distrust_until);
-            let due = now >= last + FORGET && peer.ought && !seeds.contains(name);
+            let last = peer.heartbeat_at.max(peer.since).max(self.distrust_until);
+            let due = now >= last + FORGET_AFTER && peer.linked && !seeds.contains(name);
             due.then(|| name.clone())
         };
         let gone: Vec<_> = self.peers.iter().filter_map(gone).collect();
         for name in &gone {
-            let life = self.peers.remove(name).and_then(|peer| peer.card).map(|card| card.life);
-            self.tombstones.insert(name.clone(), life.unwrap_or(0));
+            let incarnation =
+                self.peers.remove(name).and_then(|peer| peer.card).map(|card| card.incarnation);
+            self.tombstones.insert(name.clone(), incarnation.unwrap_or(0));
         }
         if !gone.is_empty() {
             self.refresh(now);
@@ -501,6 +515,6 @@
     due
 }
 
-pub(crate) fn short(name: &name::Name) -> u32 {
+pub(crate) fn name_hash(name: &name::Name) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_str().as_bytes()) as u32
 }
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -18,7 +18,7 @@
     /// records.
     Listing(name::Name, Vec<upstream::Record>),
     /// Requests a part of the configuration.
-    Fetch(Ask),
+    Fetch(PartRequest),
     /// A part of a committed configuration.
     Part(Part),
     /// A message of the consensus protocol for the configuration.
@@ -37,9 +37,9 @@
     /// The scheduler does not know this handover of the job.
     Unknown(name::Name, u64),
     /// The outcome of the tasks of a job that the scheduler had.
-    Verdict(name::Name, Box<Ruling>),
+    Verdict(name::Name, Box<Decision>),
     /// The scheduler won't start these tasks of a job unless the entry submits them again.
-    Spare(name::Name, Spare),
+    Spare(name::Name, ReturnedTasks),
     /// Lost upstreams, and the tasks that may have been running there.
     Lost(Vec<suspect::Loss>),
     /// A message that a third instance relays, as the sender does not reach its receiver: sender,
@@ -126,19 +126,19 @@
     /// Other zones that the sender schedules, besides its own.
     pub adopted: Adopted,
     /// Whether scheduling its zone would take more CPU time than the sender has.
-    pub weak: bool,
+    pub low_capacity: bool,
     /// Whether the sender watches the receiver, which then sends heartbeats in return.
-    pub chosen: bool,
+    pub watching: bool,
     /// Hashes of the names of some instances that the sender should receive heartbeats from, but
     /// doesn't.
-    pub lacks: Vec<u32>,
+    pub silent_peers: Vec<u32>,
 }
 
 /// Facts from the last heartbeat that the sender of this one received from its receiver.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heard {
     /// The receiver's incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// The receiver's monotonic clock in that heartbeat, in microseconds.
     pub clock: u64,
     /// The sender's monotonic clock when it read that heartbeat, in microseconds.
@@ -173,19 +173,19 @@
     /// Whether the receiver is to return the tasks that cannot start at once.
     pub offer: bool,
     /// Whether other tasks of the job may have begun elsewhere.
-    pub begun: bool,
+    pub may_have_started: bool,
     /// Digest of its zone's upstreams that the receiver last reported.
     pub upstreams: u64,
     /// Last reported digests of the schedulers that had these tasks before: the tasks run only at
     /// upstreams of these sets.
     pub former: smallvec::SmallVec<[u64; 2]>,
     /// Time since the entry last told one of these schedulers that it waits, in milliseconds.
-    pub parted: u64,
+    pub release_age: u64,
 }
 
 /// The outcome of the tasks of a job that a scheduler had.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Ruling {
+pub struct Decision {
     /// Number of the last handover that the scheduler received.
     pub number: u64,
     /// The tasks that the scheduler had.
@@ -196,7 +196,7 @@
 
 /// Tasks that a scheduler returns to the entry.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Spare {
+pub struct ReturnedTasks {
     /// Number of the last handover that the scheduler received.
     pub number: u64,
     /// The returned tasks.
@@ -204,7 +204,7 @@
     /// Free capacity of the scheduler's upstreams.
     pub load: Load,
     /// Whether the scheduler may have started one of them, which no longer runs.
-    pub begun: bool,
+    pub may_have_started: bool,
 }
 
 /// Free and total capacity of the upstreams of a zone.
@@ -228,7 +228,7 @@
 
 /// A request for a part of the configuration, starting at a byte offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Ask {
+pub struct PartRequest {
     /// Version of the configuration.
     pub version: u64,
     /// Offset of the first requested byte.
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -54,7 +54,7 @@
     /// The order.
     pub order: Order,
     /// Timeout of the call, milliseconds.
-    pub patience: u64,
+    pub timeout: u64,
 }
 
 /// Outcome of a call, and the time that it took.
--- a/crates/dispatch/src/outcome.rs
+++ b/crates/dispatch/src/outcome.rs
@@ -6,7 +6,7 @@
 use state::name;
 
 use crate::{
-    active::{Active, Phase},
+    active::{ActiveJob, Phase},
     event,
     job::{Task, Verdict},
     order::{End, Ended, Outcome, Reason, Running},
@@ -36,8 +36,8 @@
 
 impl Sched {
     /// Records how long the answer to a call took, microseconds. The caller passes the outcome to
-    /// [`Self::called`] next.
-    pub fn timed(&mut self, number: u64, took: u64, outcome: &Outcome, now: u64) {
+    /// [`Self::process_outcome`] next.
+    pub fn record_latency(&mut self, number: u64, took: u64, outcome: &Outcome, now: u64) {
         // The upstream delays its answer to a hold until a run ends, so that the time says nothing
         // about the latency of the link.
         let took = match self.sent.get(&number) {
@@ -51,17 +51,17 @@
     }
 
     /// Processes the outcome of a call.
-    pub fn called(&mut self, number: u64, fence: u64, outcome: Outcome, now: u64) {
+    pub fn process_outcome(&mut self, number: u64, fence: u64, outcome: Outcome, now: u64) {
         let Some((id, asked, sent)) = self.sent.remove(&number) else {
             return;
         };
         self.dirty = true;
-        self.unasked.insert(id.clone());
+        self.idle_sessions.insert(id.clone());
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         if let Some(clock) = upstream_clock(&outcome) {
-            session.tell_time(clock, now);
+            session.set_clock(clock, now);
         }
         let current = fence == session.fence;
         match &outcome {
@@ -131,7 +131,7 @@
             }
             Outcome::Refused(Reason::Fence, _) => {}
             _ if under_way => {
-                session.miss(now);
+                session.note_timeout(now);
                 let silent = session.silent.unwrap_or(now);
                 if silent == now {
                     self.note("upstream: No answer.", id, &format!("{outcome:?}"));
@@ -160,23 +160,23 @@
             session.seen = end.number;
             let run = session.runs.get(&end.task);
             let known = run.is_some_and(|run| run.attempt == end.attempt);
-            let begun = run.and_then(|run| Some((run.begun?, run.estimate)));
-            let begun = begun.filter(|_| known && end.end == End::Done);
+            let timing = run.and_then(|run| Some((run.timing?, run.estimate)));
+            let timing = timing.filter(|_| known && end.end == End::Done);
             if known {
                 session.runs.remove(&end.task);
                 session.freed = now;
             }
             match end.end {
-                End::Done => session.health.good(),
+                End::Done => session.health.record_success(),
                 End::Failed if known => {
-                    if self.policy.eject && session.health.bad(now) {
+                    if self.policy.eject && session.health.record_failure(now) {
                         self.note("upstream: Ejected after failed runs.", id, "");
                     }
                 }
                 End::Failed | End::Stopped | End::Lapsed => {}
             }
-            if let Some((begun, estimate)) = begun {
-                let parts = begun.end(clock, now);
+            if let Some((timing, estimate)) = timing {
+                let parts = timing.end(clock, now);
                 self.note_speed(id, &parts, estimate, now);
                 self.note_breakdown(&end.task, parts, now);
             }
@@ -189,7 +189,7 @@
         self.out.measures.push(event::Measure::Breakdown(parts));
         if let Some(active) = self.jobs.get_mut(&task.job) {
             let whole = now.saturating_sub(active.arrived);
-            active.last = Some(parts.after(active.job.age * time::MS, whole));
+            active.last_breakdown = Some(parts.after(active.job.age * time::MS, whole));
         }
     }
 
@@ -202,7 +202,7 @@
         if active.is_away(task) {
             return;
         }
-        let Some(item) = active.item_mut(task) else {
+        let Some(item) = active.task_mut(task) else {
             return;
         };
         let here = item.phase == Phase::Placed(id.clone());
@@ -231,7 +231,7 @@
                 }
             }
         }
-        self.settle(&task.job.clone(), now);
+        self.finish_if_complete(&task.job.clone(), now);
     }
 
     fn process_running(
@@ -246,7 +246,7 @@
         for task in session.missing(running, asked) {
             session.runs.remove(&task);
             if let Some(active) = self.jobs.get_mut(&task.job)
-                && active.item(&task).is_some_and(|item| item.phase == Phase::Placed(id.clone()))
+                && active.task(&task).is_some_and(|item| item.phase == Phase::Placed(id.clone()))
             {
                 active.set(&task, Phase::Waiting);
             }
@@ -260,8 +260,8 @@
                     if run.stage == Stage::Unconfirmed {
                         self.call_timeout.late(now);
                     }
-                    if let Some(begun) = &mut run.begun {
-                        begun.hear(clock, now);
+                    if let Some(timing) = &mut run.timing {
+                        timing.confirm(clock, now);
                     }
                     if run.stage != Stage::Running {
                         run.stage = Stage::Running;
@@ -283,7 +283,7 @@
                         need: need.unwrap_or(session.record.room),
                         stage: Stage::Running,
                         since: now,
-                        begun: None,
+                        timing: None,
                         estimate: 0,
                         progress: (now, row.percent),
                         unwanted: None,
@@ -305,10 +305,10 @@
             self.orphans.insert(task.clone(), now + ORPHAN_GRACE);
             return;
         };
-        let waits = active.item(task).is_some_and(|item| item.phase == Phase::Waiting);
+        let waits = active.task(task).is_some_and(|item| item.phase == Phase::Waiting);
         if waits {
             active.set(task, Phase::Placed(id.clone()));
-            if let Some(item) = active.item_mut(task) {
+            if let Some(item) = active.task_mut(task) {
                 item.attempt = item.attempt.max(attempt);
             }
         } else {
@@ -320,7 +320,7 @@
         self.note("upstream: Stopping a task without progress.", id, &task.job.to_string());
         if self.policy.eject
             && let Some(session) = self.sessions.get_mut(id)
-            && session.health.bad(now)
+            && session.health.record_failure(now)
         {
             self.note("upstream: Ejected after runs without progress.", id, "");
         }
@@ -341,8 +341,8 @@
         };
         match outcome {
             Outcome::Done(clock) | Outcome::Held { clock, .. } => {
-                if let Some(begun) = &mut run.begun {
-                    begun.hear(*clock, now);
+                if let Some(timing) = &mut run.timing {
+                    timing.confirm(*clock, now);
                 }
                 if run.stage == Stage::Starting {
                     run.stage = Stage::Running;
@@ -369,7 +369,7 @@
                     Reason::Unhealthy => {
                         session.full = now + REFUSAL_PAUSE * 3;
                         if self.policy.eject {
-                            session.health.bad(now);
+                            session.health.record_failure(now);
                         }
                     }
                     Reason::Old | Reason::Fence | Reason::Invalid => {}
@@ -378,7 +378,7 @@
             }
             Outcome::Unsent => {
                 session.runs.remove(task);
-                session.miss(now);
+                session.note_timeout(now);
                 self.process_refusal(id, task, Reason::Unhealthy, now);
             }
             Outcome::Replaced => {}
@@ -389,7 +389,7 @@
     fn process_refusal(&mut self, id: &name::Name, task: &Task, reason: Reason, now: u64) {
         self.note("upstream: A start was refused.", id, &format!("{} {reason:?}", task.job));
         let Some(active) = self.jobs.get_mut(&task.job) else { return };
-        let Some(item) = active.item_mut(task) else { return };
+        let Some(item) = active.task_mut(task) else { return };
         if item.phase != Phase::Placed(id.clone()) {
             return;
         }
@@ -422,7 +422,7 @@
 }
 
 fn task_need(
-    jobs: &collections::BTreeMap<name::Name, Active>,
+    jobs: &collections::BTreeMap<name::Name, ActiveJob>,
     task: &Task,
 ) -> Option<upstream::Room> {
     jobs.get(&task.job)?.job.steps.get(task.step as usize).map(|step| step.need)
--- a/crates/dispatch/src/peer.rs
+++ b/crates/dispatch/src/peer.rs
@@ -6,10 +6,10 @@
 
 /// An instance counts as lost after it was silent for this long, in microseconds. It has to be well
 /// below the time after which a client submits a job again (1,300 ms), less the lease duration.
-pub const SILENT: u64 = 500 * time::MS;
+pub const SILENCE_TIMEOUT: u64 = 500 * time::MS;
 /// An instance is forgotten after it was silent for this long, in microseconds: longer than any
 /// outage after which the instance comes back at the same address.
-pub(crate) const FORGET: u64 = 30_000 * time::MS;
+pub(crate) const FORGET_AFTER: u64 = 30_000 * time::MS;
 
 /// State of another instance, as this one knows it.
 #[derive(Clone, Debug, Default)]
@@ -18,9 +18,9 @@
     pub card: Option<member::Card>,
     /// Its last heartbeat.
     pub ping: Option<message::Ping>,
-    pub(crate) heard: u64,
-    pub(crate) direct: u64,
-    pub(crate) echoed: u64,
+    pub(crate) heartbeat_at: u64,
+    pub(crate) direct_at: u64,
+    pub(crate) echo_at: u64,
     /// When the list of instances was last sent to it.
     pub(crate) synced: Option<u64>,
     /// When the list of upstreams was last sent to it.
@@ -28,19 +28,19 @@
     pub(crate) since: u64,
     /// When this instance read its last heartbeat.
     pub(crate) read: u64,
-    pub(crate) ahead: Option<Ahead>,
+    pub(crate) clock_bound: Option<ClockBound>,
     /// Start of the current unbroken period of direct heartbeats from it.
-    pub(crate) met: u64,
+    pub(crate) direct_since: u64,
     /// When its heartbeat last said that it watches this instance.
-    pub(crate) chosen: u64,
+    pub(crate) watched_at: u64,
     /// Start of the current unbroken period of heartbeats to it.
-    pub(crate) due: Option<u64>,
+    pub(crate) sending_since: Option<u64>,
     /// Whether these heartbeats only answer its own.
     pub(crate) answers: bool,
     /// Whether one of the two instances watches the other by the rules of the watch list.
-    pub(crate) ought: bool,
+    pub(crate) linked: bool,
     /// The instance that last relayed a message of it, while no direct ones came, and when.
-    pub(crate) via: Option<(name::Name, u64)>,
+    pub(crate) last_relay: Option<(name::Name, u64)>,
     pub(crate) stream: redial::Stream,
 }
 
@@ -48,7 +48,7 @@
 /// The other instance read a heartbeat of this one at some time of its own clock, and this one sent
 /// it before that. The bound holds however late messages are; a delay only makes it wider.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ahead {
+pub(crate) struct ClockBound {
     offset: i64,
     at: u64,
 }
@@ -57,33 +57,36 @@
     /// When the last answer came on the stream to it, if answers are expected.
     pub(crate) fn answered(&self, now: u64) -> Option<u64> {
         // An instance that no longer watches this one sends no heartbeats, either.
-        let recent = if self.answers { SILENT } else { FORGET };
-        let spoke = self.direct > 0 && now < self.direct + recent;
-        let due = self.due.filter(|_| spoke)?;
-        Some(self.echoed.max(due).max(self.since))
+        let recent = if self.answers { SILENCE_TIMEOUT } else { FORGET_AFTER };
+        let spoke = self.direct_at > 0 && now < self.direct_at + recent;
+        let due = self.sending_since.filter(|_| spoke)?;
+        Some(self.echo_at.max(due).max(self.since))
     }
 
     pub(crate) fn is_direct(&self, now: u64) -> bool {
-        self.direct > 0 && now < self.direct + SILENT && now < self.echoed + SILENT
+        self.direct_at > 0
+            && now < self.direct_at + SILENCE_TIMEOUT
+            && now < self.echo_at + SILENCE_TIMEOUT
     }
 
     pub(crate) fn is_alive(&self, now: u64) -> bool {
-        let relayed = self.heard > self.direct && now < self.heard + SILENT;
+        let relayed =
+            self.heartbeat_at > self.direct_at && now < self.heartbeat_at + SILENCE_TIMEOUT;
         self.is_direct(now) || relayed
     }
 
     /// Bounds its clock by a heartbeat of this instance that it has read, and by the time that its
     /// own clock shows.
-    pub(crate) fn compare(&mut self, proof: Option<&message::Heard>, clock: u64, now: u64) {
+    pub(crate) fn update_bound(&mut self, proof: Option<&message::Heard>, clock: u64, now: u64) {
         // Its clock is beyond the bound: this instance's clock was stopped without being noticed.
-        if self.ahead.is_some_and(|ahead| clock > ahead.clock(now)) {
-            self.ahead = None;
+        if self.clock_bound.is_some_and(|bound| clock > bound.clock(now)) {
+            self.clock_bound = None;
         }
         let Some(heard) = proof else { return };
-        let bound = Ahead { offset: heard.at as i64 - heard.clock as i64, at: heard.clock };
-        let tighter = self.ahead.is_none_or(|held| bound.clock(now) < held.clock(now));
+        let bound = ClockBound { offset: heard.at as i64 - heard.clock as i64, at: heard.clock };
+        let tighter = self.clock_bound.is_none_or(|held| bound.clock(now) < held.clock(now));
         if tighter && clock <= bound.clock(now) {
-            self.ahead = Some(bound);
+            self.clock_bound = Some(bound);
         }
     }
 
@@ -92,10 +95,10 @@
     }
 }
 
-impl Ahead {
+impl ClockBound {
     /// Returns the latest time that the other clock can show.
     pub(crate) fn clock(&self, now: u64) -> u64 {
         let elapsed = now.saturating_sub(self.at);
-        (now + elapsed * time::SLOW_CLOCK / 1_000).saturating_add_signed(self.offset)
+        (now + elapsed * time::MAX_DRIFT / 1_000).saturating_add_signed(self.offset)
     }
 }
--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -15,10 +15,10 @@
 impl Core {
     /// Sends the heartbeats that are due, and copies of them through a third instance where the
     /// direct path is silent.
-    pub(crate) fn beat(&mut self, now: Now) {
+    pub(crate) fn send_heartbeats(&mut self, now: Now) {
         let zone = self.membership.me().zone.clone();
         let led = self.claims.is_led(&zone, &self.membership, now.mono);
-        self.membership.widen(self.is_scheduler(), led, now.mono);
+        self.membership.update_window(self.is_scheduler(), led, now.mono);
         let partners = self.partners(led);
         let due = self.membership.due(|name| partners.contains(name), now.mono);
         if due.is_empty() {
@@ -26,8 +26,8 @@
         }
         let ping = self.ping(now);
         for to in due {
-            let chosen = self.membership.is_chosen(&to, partners.contains(&to));
-            let ping = self.address_ping(Ping { chosen, ..ping.clone() }, &to, now);
+            let watching = self.membership.is_chosen(&to, partners.contains(&to));
+            let ping = self.complete_heartbeat(Ping { watching, ..ping.clone() }, &to, now);
             let body = Body::Ping(Box::new(ping));
             if let Some(relay) = self.membership.relay(&to, now.mono).cloned() {
                 let me = self.membership.me().name.clone();
@@ -43,25 +43,25 @@
     /// entries of the zones that it may have to schedule.
     fn partners(&self, led: bool) -> Vec<name::Name> {
         let zone = &self.membership.me().zone;
-        let next = self.membership.is_few()
+        let next = self.membership.is_small()
             || !led
             || self.is_scheduler()
             || self.submissions.is_short(zone);
         let watched = self
             .claims
-            .watched(zone, &self.evacuations)
+            .monitored(zone, &self.evacuations)
             .filter(|claim| next || claim.zone == *zone);
         let watched = watched.map(|claim| claim.holder.clone());
-        let backed = self.backed.iter().cloned();
-        watched.chain(self.submissions.schedulers().cloned()).chain(backed).collect()
+        let entries = self.watched_entries.iter().cloned();
+        watched.chain(self.submissions.schedulers().cloned()).chain(entries).collect()
     }
 
     /// Entries of other zones that a keeper monitors because it may have to schedule their zones:
     /// zones without a scheduler, and zones where this keeper comes first if their keepers are
     /// lost.
-    pub(crate) fn work_out_backed(&self, now: Now) -> Vec<name::Name> {
+    pub(crate) fn find_watched_entries(&self, now: Now) -> Vec<name::Name> {
         let me = self.membership.me();
-        if me.role != member::Role::Keeper || self.membership.is_few() {
+        if me.role != member::Role::Keeper || self.membership.is_small() {
             return Vec::new();
         }
         let others = self.zones.keys().filter(|name| **name != me.zone);
@@ -91,9 +91,9 @@
             records: None,
             load: self.zones.get(zone).and_then(|zone| zone.load(now.mono)),
             adopted: self.adopted(now),
-            weak: self.is_weak(),
-            chosen: false,
-            lacks: self.membership.lacks(now.mono),
+            low_capacity: self.has_low_capacity(),
+            watching: false,
+            silent_peers: self.membership.silent_peers(now.mono),
         }
     }
 
@@ -113,48 +113,48 @@
         match body {
             Body::Ping(ping) => self.on_ping(*ping, direct, now),
             Body::Members(cards, gone) => {
-                if self.membership.raise_life(&cards, &gone, now.mono) {
-                    let life = self.membership.me().life.to_string();
+                if self.membership.raise_incarnation(&cards, &gone, now.mono) {
+                    let incarnation = self.membership.me().incarnation.to_string();
                     self.note(
                         "node: A former incarnation had a later clock, taking a higher one.",
                         from,
-                        life,
+                        incarnation,
                     );
                     self.yield_to_higher();
                 }
-                let lost = self.membership.learn(cards, gone, now.mono);
+                let lost = self.membership.merge_members(cards, gone, now.mono);
                 self.out.extend(lost.into_iter().map(Output::Disconnect));
             }
             Body::Records(records) => self.on_records(records),
             Body::Listing(zone, records) => self.on_listing(from, &zone, records, now),
-            Body::Fetch(ask) => {
-                if let Some(part) = fetch::part(&self.document, ask) {
+            Body::Fetch(request) => {
+                if let Some(part) = fetch::part(&self.document, request) {
                     self.send(from, Body::Part(part), now);
                 }
             }
             Body::Part(part) => self.on_part(from, &part, now),
             Body::Agree(body) => {
                 if let Some(control_log) = &mut self.control_log {
-                    control_log.agree(from, *body, now);
+                    control_log.on_group_message(from, *body, now);
                 }
             }
             Body::Confirm(number) => {
                 if let Some(control_log) = &mut self.control_log {
-                    control_log.confirm(from, number, now.mono);
+                    control_log.on_query(from, number, now.mono);
                 }
             }
             Body::Confirmed(number, version) => {
                 if let Some(control_log) = &mut self.control_log {
-                    control_log.confirmed(number, version);
+                    control_log.on_query_answer(number, version);
                 }
             }
             Body::Submit(zone, job, handover) => self.on_submit(from, &zone, *job, handover, now),
             Body::Cancel(id) => {
                 self.scheds_mut().for_each(|sched| sched.cancel(&id, from));
             }
-            Body::Await(zone, handovers, stamp) => {
+            Body::Await(zone, handovers, entry_clock) => {
                 let unknown = match self.sched_of(&zone) {
-                    Some(sched) => sched.awaited(&handovers, from, stamp, now.mono),
+                    Some(sched) => sched.renew_awaited(&handovers, from, entry_clock, now.mono),
                     None => handovers,
                 };
                 for awaited in unknown {
@@ -162,7 +162,7 @@
                 }
             }
             Body::Unknown(id, number) => self.submissions.unknown(from, &id, number),
-            Body::Verdict(id, ruling) => self.submissions.verdict(from, &id, &ruling, now.mono),
+            Body::Verdict(id, decision) => self.submissions.verdict(from, &id, &decision, now.mono),
             Body::Spare(id, spare) => {
                 let (view, submissions) = self.view(now);
                 submissions.spare(from, &id, &spare, view);
@@ -170,7 +170,7 @@
             Body::Lost(losses) => self.note_losses(&losses, now),
             Body::Relay(origin, to, body) if to == self.membership.me().name => {
                 if !matches!(*body, Body::Relay(..)) {
-                    self.membership.came(&origin, from, now.mono);
+                    self.membership.record_relay(&origin, from, now.mono);
                     self.on_peer(&origin, *body, false, now);
                 }
             }
@@ -205,7 +205,7 @@
             return sched.refuse_given_up(&job.id, from, handover, now.mono);
         }
         if let Some(number) = directory.find(handover.upstreams) {
-            sched.learn(from, number);
+            sched.note_known(from, number);
         }
         sched.hand_over(job, from, handover, now.mono);
     }
@@ -218,7 +218,7 @@
             let Some(sched) = &mut zone.sched else { continue };
             let known = heard.set(name, &home).and_then(|digest| zone.directory.find(digest));
             if let Some(number) = known {
-                sched.learn(from, number);
+                sched.note_known(from, number);
             }
         }
     }
@@ -245,13 +245,13 @@
         let ack = ping.heard.clone();
         let (version, members, records) = (ping.version, ping.members, ping.records);
         let former =
-            self.membership.last_heard(&from).map(|heard| (heard.upstreams, heard.adopted));
-        if self.membership.heard(ping, direct, now.mono) {
+            self.membership.last_heartbeat(&from).map(|heard| (heard.upstreams, heard.adopted));
+        if self.membership.record_heartbeat(ping, direct, now.mono) {
             self.note("peer: Heard.", &from, String::new());
             // The sender has just started; the answer to its heartbeat brings what it lacks.
-            self.beat_now(&from, now);
+            self.send_heartbeat(&from, now);
             if version == 0 {
-                self.give_document(&from, now);
+                self.push_document(&from, now);
             }
             self.scheds_mut().for_each(|sched| sched.forget_entry(&from));
         }
@@ -262,16 +262,20 @@
         // at once makes that 165 ms at most instead of 325 (`doubled::soon_used`).
         let is_scheduler = self.claims.iter().any(|claim| claim.holder == from);
         let latest =
-            self.membership.last_heard(&from).map(|heard| (heard.upstreams, heard.adopted));
+            self.membership.last_heartbeat(&from).map(|heard| (heard.upstreams, heard.adopted));
         if is_scheduler && former.is_some() && former != latest {
-            self.beat_now(&from, now);
+            self.send_heartbeat(&from, now);
         }
         self.note_version(version, now);
         let zone = self.membership.me().zone.clone();
         let sync_needed =
             members != self.membership.digest() || self.membership.is_forgotten(&from);
         if sync_needed && self.membership.is_sync_due(&from, now.mono) {
-            self.send(&from, Body::Members(self.membership.cards(), self.membership.gone()), now);
+            self.send(
+                &from,
+                Body::Members(self.membership.cards(), self.membership.tombstones()),
+                now,
+            );
         }
         let differs = records.is_some_and(|digest| digest != self.table.digest(&zone));
         if differs && self.membership.is_listing_due(&from, now.mono) {
@@ -288,7 +292,7 @@
         let me = &self.membership.me().name;
         if holder != me && self.membership.peer(holder).is_none() {
             self.membership.add_known(std::slice::from_ref(holder), now.mono);
-            self.beat_now(&holder.clone(), now);
+            self.send_heartbeat(&holder.clone(), now);
         }
     }
 
@@ -296,7 +300,7 @@
     pub(crate) fn on_records(&mut self, records: Vec<upstream::Record>) {
         for record in records {
             if let Some(held) = self.table.take(record) {
-                self.tell_sched(&held);
+                self.forward_record(&held);
             }
         }
     }
@@ -327,53 +331,55 @@
 
     /// Sends heartbeats with news to the instances of its zone and to all keepers at once; the
     /// other instances read the news in the heartbeats of these.
-    pub(crate) fn beat_all(&mut self, now: Now) {
+    pub(crate) fn send_heartbeats_to_all(&mut self, now: Now) {
         let zone = &self.membership.me().zone;
         let near = |card: &member::Card| card.zone == *zone || card.role == member::Role::Keeper;
         let receives = |name: &&name::Name| {
             let card = self.membership.peer(name).and_then(|peer| peer.card.as_ref());
-            self.membership.is_few() || card.is_none_or(near)
+            self.membership.is_small() || card.is_none_or(near)
         };
         let names: Vec<_> = self.membership.names().filter(receives).cloned().collect();
         for to in names {
-            self.beat_now(&to, now);
+            self.send_heartbeat(&to, now);
         }
     }
 
     /// Sends heartbeats with news to the instances of another zone at once.
-    pub(crate) fn beat_zone(&mut self, zone: &name::Name, now: Now) {
+    pub(crate) fn send_heartbeats_to_zone(&mut self, zone: &name::Name, now: Now) {
         if *zone == self.membership.me().zone {
             return;
         }
-        for to in self.membership.of_zone(zone) {
-            self.beat_now(&to, now);
+        for to in self.membership.zone_members(zone) {
+            self.send_heartbeat(&to, now);
         }
     }
 
     /// Sends an urgent heartbeat, which carries news, at once.
-    pub(crate) fn beat_now(&mut self, to: &name::Name, now: Now) {
+    pub(crate) fn send_heartbeat(&mut self, to: &name::Name, now: Now) {
         let led = self.claims.is_led(&self.membership.me().zone, &self.membership, now.mono);
-        let chosen = self.membership.is_chosen(to, self.partners(led).contains(to));
-        let ping = Ping { urgent: true, chosen, ..self.ping(now) };
-        let ping = self.address_ping(ping, to, now);
+        let watching = self.membership.is_chosen(to, self.partners(led).contains(to));
+        let ping = Ping { urgent: true, watching, ..self.ping(now) };
+        let ping = self.complete_heartbeat(ping, to, now);
         self.send(to, Body::Ping(Box::new(ping)), now);
     }
 
     /// Fills in the fields of a heartbeat that depend on its receiver.
-    pub(crate) fn address_ping(&mut self, ping: Ping, to: &name::Name, now: Now) -> Ping {
+    pub(crate) fn complete_heartbeat(&mut self, ping: Ping, to: &name::Name, now: Now) -> Ping {
         let card = self.membership.peer(to).and_then(|peer| peer.card.as_ref());
         let me = self.membership.me();
-        let held =
-            |card: &&member::Card| self.is_told(me, &card.zone) && self.is_told(card, &card.zone);
+        let held = |card: &&member::Card| {
+            self.receives_records(me, &card.zone) && self.receives_records(card, &card.zone)
+        };
         let records = card.filter(held).map(|card| self.table.digest(&card.zone));
-        let (echo, heard) = (self.membership.echo(to, now.mono), self.membership.last_heard(to));
+        let (echo, heard) =
+            (self.membership.echo(to, now.mono), self.membership.last_heartbeat(to));
         Ping { echo, heard, records, ..ping }
     }
 
     /// Whether an instance receives news of the upstreams of a zone.
-    pub(crate) fn is_told(&self, card: &member::Card, zone: &name::Name) -> bool {
+    pub(crate) fn receives_records(&self, card: &member::Card, zone: &name::Name) -> bool {
         let scheduler = self.claims.of(zone).is_some_and(|claim| claim.holder == card.name);
-        scheduler || self.membership.is_told(card, zone)
+        scheduler || self.membership.receives_records(card, zone)
     }
 
     pub(crate) fn send(&mut self, to: &name::Name, body: Body, now: Now) {
--- a/crates/dispatch/src/place.rs
+++ b/crates/dispatch/src/place.rs
@@ -32,7 +32,7 @@
 
 /// Free room of all upstreams while tasks are being placed.
 #[derive(Debug)]
-pub struct Room<'a> {
+pub struct Placement<'a> {
     sessions: &'a collections::BTreeMap<name::Name, session::Session>,
     /// Upstreams without recent failures, sorted by their free cores.
     healthy: Vec<Candidate<'a>>,
@@ -72,12 +72,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
     /// Highest directory number of the upstreams that the entry of the job knows.
-    pub known: u64,
+    pub known_number: u64,
     /// Time left in which a task is useful, milliseconds.
-    pub left: u64,
+    pub time_left: u64,
 }
 
-impl<'a> Room<'a> {
+impl<'a> Placement<'a> {
     /// Collects the room that is free now.
     pub fn new(
         sessions: &'a collections::BTreeMap<name::Name, session::Session>,
@@ -109,7 +109,7 @@
     }
 
     /// Largest number of free cores at one upstream, thousandths.
-    pub fn most(&self) -> u64 {
+    pub fn max_free(&self) -> u64 {
         let last = |list: &[Candidate<'_>]| list.last().map_or(0, |free| free.room.cpu);
         last(&self.healthy).max(last(&self.suspected)).max(last(&self.slow))
     }
@@ -168,9 +168,9 @@
             let record = &free.session.record;
             let labelled = step.label.as_ref().is_none_or(|label| record.labels.contains(label));
             record.service == job.service
-                && free.session.number <= limit.known
+                && free.session.number <= limit.known_number
                 && (free.slowness <= 1.0
-                    || step.estimate as f64 * free.slowness <= limit.left as f64)
+                    || step.estimate as f64 * free.slowness <= limit.time_left as f64)
                 && step.need.fits(&free.room)
                 && labelled
                 && (step.spread == 0 || self.count(free.session, task) < step.spread)
--- a/crates/dispatch/src/propagation.rs
+++ b/crates/dispatch/src/propagation.rs
@@ -8,7 +8,7 @@
     evacuation,
     event::{Output, Reply, Ticket},
     fetch, member,
-    message::{Ask, Body, Document, Part},
+    message::{Body, Document, Part, PartRequest},
     time::{MS, Now},
 };
 
@@ -27,7 +27,7 @@
     /// Records the version that another instance has, and fetches it if it is newer.
     pub(crate) fn note_version(&mut self, version: u64, now: Now) {
         if version > self.document.version {
-            self.told.entry(version).or_insert(now.mono);
+            self.newer_versions.entry(version).or_insert(now.mono);
             self.fetch_newer(now);
         }
     }
@@ -35,36 +35,38 @@
     /// Whether this instance has known of a newer configuration for too long to answer requests by
     /// the one in force, and a live instance has that newer one.
     pub fn is_outdated(&self, now: Now) -> bool {
-        let Some((version, since)) = self.told.first_key_value() else { return false };
+        let Some((version, since)) = self.newer_versions.first_key_value() else { return false };
         now.mono >= since + OUTDATED_AFTER
-            && !self.membership.holders(*version, now.mono).is_empty()
+            && !self.membership.sources(*version, now.mono).is_empty()
     }
 
     /// Requests the newest known configuration if that is due.
     pub(crate) fn fetch_newer(&mut self, now: Now) {
-        let Some(newest) = self.told.last_key_value().map(|(version, _)| *version) else { return };
+        let Some(newest) = self.newer_versions.last_key_value().map(|(version, _)| *version) else {
+            return;
+        };
         if !self.fetch.is_due(newest, now.mono) {
             return;
         }
-        let sources = self.membership.holders(newest, now.mono);
-        if let Some((source, ask)) = self.fetch.begin(newest, &sources, now.mono) {
+        let sources = self.membership.sources(newest, now.mono);
+        if let Some((source, request)) = self.fetch.begin(newest, &sources, now.mono) {
             let detail = format!(
                 "version {newest} from byte {}, held {}",
-                ask.offset, self.document.version
+                request.offset, self.document.version
             );
             self.note("settings: Fetching.", &source, detail);
-            self.send(&source, Body::Fetch(ask), now);
+            self.send(&source, Body::Fetch(request), now);
         }
     }
 
     /// Sends the configuration without a request to an instance that has none, if this instance is
     /// a keeper and the configuration is short: a request of that instance may be lost, as its
     /// stream to this one is not up yet.
-    pub(crate) fn give_document(&mut self, to: &name::Name, now: Now) {
+    pub(crate) fn push_document(&mut self, to: &name::Name, now: Now) {
         let held = self.control_log.is_some() && self.document.version > 0;
         if held && self.document.body.len() <= MAX_UNREQUESTED {
-            let ask = Ask { version: self.document.version, offset: 0 };
-            if let Some(part) = fetch::part(&self.document, ask) {
+            let request = PartRequest { version: self.document.version, offset: 0 };
+            if let Some(part) = fetch::part(&self.document, request) {
                 self.send(to, Body::Part(part), now);
             }
         }
@@ -73,9 +75,9 @@
     /// Handles a part of a configuration.
     pub(crate) fn on_part(&mut self, from: &name::Name, part: &Part, now: Now) {
         match self.fetch.take(from, part, now.mono) {
-            fetch::Taken::More(ask) => self.send(from, Body::Fetch(ask), now),
-            fetch::Taken::Whole(document) => self.adopt(document, now),
-            fetch::Taken::Unneeded => {
+            fetch::Progress::More(request) => self.send(from, Body::Fetch(request), now),
+            fetch::Progress::Complete(document) => self.adopt(document, now),
+            fetch::Progress::Ignored => {
                 let detail = format!(
                     "version {} from byte {}, held {}",
                     part.version, part.offset, self.document.version
@@ -90,8 +92,8 @@
         if document.version <= self.document.version {
             return;
         }
-        let newer = self.told.split_off(&(document.version + 1));
-        let told = std::mem::replace(&mut self.told, newer);
+        let newer = self.newer_versions.split_off(&(document.version + 1));
+        let told = std::mem::replace(&mut self.newer_versions, newer);
         let since = told.into_values().min().unwrap_or(now.mono);
         let waited = now.mono.saturating_sub(since) / MS;
         self.fetch.drop_older(document.version);
@@ -146,7 +148,7 @@
         let me = self.membership.me();
         let named = self.named_zones.contains(zone) || me.zone == *zone;
         named
-            || !self.membership.of_zone(zone).is_empty()
+            || !self.membership.zone_members(zone).is_empty()
             || self.table.of_zone(zone).next().is_some()
     }
 
@@ -175,7 +177,7 @@
         });
         let names: Vec<_> = names.cloned().collect();
         for to in names {
-            self.beat_now(&to, now);
+            self.send_heartbeat(&to, now);
         }
     }
 }
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -40,13 +40,13 @@
 }
 
 /// Sort key of a job in the queue; the job with the lowest key goes first.
-pub fn rank(active: &active::Active, congested: bool, now: u64) -> (Feasibility, u64, u64) {
-    let length = if congested { active.job.chain() } else { 0 };
+pub fn rank(active: &active::ActiveJob, congested: bool, now: u64) -> (Feasibility, u64, u64) {
+    let length = if congested { active.job.critical_path() } else { 0 };
     (feasibility(active, now), length, latest_start(active))
 }
 
 /// Whether a job has started, and if not, whether it can still be answered in time.
-pub fn feasibility(active: &active::Active, now: u64) -> Feasibility {
+pub fn feasibility(active: &active::ActiveJob, now: u64) -> Feasibility {
     if active.started {
         Feasibility::Begun
     } else if now <= latest_start(active) {
@@ -73,29 +73,29 @@
 
 /// Deadline for the answer: the end of the objective while that can be met, otherwise the time
 /// after which an answer has no use.
-pub fn useful_until(active: &active::Active, now: u64) -> u64 {
-    if now <= latest_start(active) { active.due() } else { useful_end(active) }
+pub fn useful_until(active: &active::ActiveJob, now: u64) -> u64 {
+    if now <= latest_start(active) { active.objective_end() } else { useful_end(active) }
 }
 
 /// Time after which an answer has no use.
-fn useful_end(active: &active::Active) -> u64 {
+fn useful_end(active: &active::ActiveJob) -> u64 {
     let span = (active.job.objective * USEFUL_OBJECTIVES).min(active.job.patience);
     active.arrived + span * time::MS
 }
 
 /// Latest start with which the job is answered in time.
-fn latest_start(active: &active::Active) -> u64 {
-    active.due().saturating_sub(active.job.chain() * time::MS)
+fn latest_start(active: &active::ActiveJob) -> u64 {
+    active.objective_end().saturating_sub(active.job.critical_path() * time::MS)
 }
 
 /// Whether the job can no longer be answered in any useful time.
-pub fn is_hopeless(active: &active::Active, now: u64) -> bool {
-    now + active.job.chain() * time::MS / 2 >= useful_end(active)
+pub fn is_hopeless(active: &active::ActiveJob, now: u64) -> bool {
+    now + active.job.critical_path() * time::MS / 2 >= useful_end(active)
 }
 
 /// Time after which the client may retry, milliseconds, if `job` is refused. `queued` holds the end
 /// of the objective, and the cores that are waited for, of each job.
-pub fn refuse(
+pub fn refusal_delay(
     job: &job::Job,
     queued: impl Iterator<Item = (u64, i64)>,
     load: message::Load,
--- a/crates/dispatch/src/routing.rs
+++ b/crates/dispatch/src/routing.rs
@@ -16,11 +16,11 @@
     /// Priority of the queue; 0 is the highest.
     pub priority: u32,
     /// Maximum number of attempts: a task that failed this often fails its job.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The latency objective is this many times the critical path of the job ...
     pub stretch: f64,
     /// ... plus this time, in milliseconds.
-    pub goal: u64,
+    pub latency_goal: u64,
     /// Maximum time for an answer, in milliseconds; more than 0.
     pub timeout: u64,
 }
@@ -29,7 +29,7 @@
     /// Latency objective for a job, in milliseconds; `critical_path` is the length of its critical
     /// path.
     pub fn objective(&self, critical_path: u64) -> u64 {
-        (critical_path as f64 * self.stretch) as u64 + self.goal
+        (critical_path as f64 * self.stretch) as u64 + self.latency_goal
     }
 }
 
@@ -70,19 +70,19 @@
         max_body: usize,
         routes: Vec<Route>,
         services: &[name::Name],
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, RouteError> {
         let mut hosts: collections::HashMap<name::Name, Host> = collections::HashMap::new();
         for (at, route) in routes.into_iter().enumerate() {
             if !services.contains(&route.service) {
-                return Err(Fault { at, field: Field::Service, why: "no such service" });
+                return Err(RouteError { at, field: Field::Service, why: "no such service" });
             }
             if route.timeout == 0 {
-                return Err(Fault { at, field: Field::Timeout, why: "must be more than 0" });
+                return Err(RouteError { at, field: Field::Timeout, why: "must be more than 0" });
             }
             let host = hosts.entry(route.host.clone()).or_default();
             if host.routes.contains_key(&route.prefix) {
                 let why = "another route has this host and prefix";
-                return Err(Fault { at, field: Field::Prefix, why });
+                return Err(RouteError { at, field: Field::Prefix, why });
             }
             host.routes.insert(route.prefix.clone(), route);
         }
@@ -118,7 +118,7 @@
 
 /// Error for an invalid route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct RouteError {
     /// Index of the route, from 0.
     pub at: usize,
     /// The invalid field.
--- a/crates/dispatch/src/sched.rs
+++ b/crates/dispatch/src/sched.rs
@@ -5,7 +5,7 @@
 use state::{name, policy};
 
 use crate::{
-    active::{Active, Phase},
+    active::{ActiveJob, Phase},
     call_timeout, event,
     job::{Task, Verdict},
     message,
@@ -16,10 +16,10 @@
 
 /// How long runs that a former scheduler started for an entry may continue after the entry last
 /// told that scheduler that it awaits the job, microseconds. It covers the time after which the
-/// scheduler drops the job ([`upkeep::ABANDONED`], 900 ms, and a tick of 40 ms) and the last lease
-/// that it renewed (950 ms, and 2.5% for clock differences). The time counts from the hand-over of
-/// each job, because an entry may leave a scheduler long after the next claim.
-pub(crate) const FORMER: u64 = 2_000 * time::MS;
+/// scheduler drops the job ([`upkeep::ABANDON_AFTER`], 900 ms, and a tick of 40 ms) and the last
+/// lease that it renewed (950 ms, and 2.5% for clock differences). The time counts from the
+/// hand-over of each job, because an entry may leave a scheduler long after the next claim.
+pub(crate) const FORMER_RUN_TIMEOUT: u64 = 2_000 * time::MS;
 /// How long the scheduler keeps the ends of runs of unknown jobs, microseconds: their entries may
 /// submit these jobs again.
 const END_RETENTION: u64 = 3_000 * time::MS;
@@ -40,10 +40,10 @@
 pub struct Output {
     /// Calls to upstreams.
     pub calls: Vec<Call>,
-    /// Final states of jobs, for their entries: entry, job, ruling.
-    pub verdicts: Vec<(name::Name, name::Name, message::Ruling)>,
+    /// Final states of jobs, for their entries: entry, job, decision.
+    pub verdicts: Vec<(name::Name, name::Name, message::Decision)>,
     /// Tasks that the scheduler returns to their entries: entry, job, tasks.
-    pub spares: Vec<(name::Name, name::Name, message::Spare)>,
+    pub spares: Vec<(name::Name, name::Name, message::ReturnedTasks)>,
     /// Upstreams that are gone; `true` if that incarnation has ended for good.
     pub gone: Vec<(name::Name, bool)>,
     /// Upstreams that have seen a higher fencing token than any that this scheduler used.
@@ -67,15 +67,15 @@
 pub struct Sched {
     /// Upstreams of the zone.
     pub sessions: collections::BTreeMap<name::Name, Session>,
-    pub(crate) jobs: collections::BTreeMap<name::Name, Active>,
+    pub(crate) jobs: collections::BTreeMap<name::Name, ActiveJob>,
     pub(crate) sent: collections::HashMap<u64, (name::Name, u64, Sent)>,
     pub(crate) ends: collections::HashMap<Task, (End, u64)>,
     pub(crate) orphans: collections::BTreeMap<Task, u64>,
     /// Jobs that former schedulers had on upstreams of which this scheduler may not know all.
-    pub(crate) unsure: collections::BTreeSet<name::Name>,
+    pub(crate) uncovered_jobs: collections::BTreeSet<name::Name>,
     /// The number in the directory up to which each entry knows the upstreams.
     pub(crate) known: collections::BTreeMap<name::Name, u64>,
-    pub(crate) verdicts: collections::HashMap<name::Name, (message::Ruling, u64)>,
+    pub(crate) verdicts: collections::HashMap<name::Name, (message::Decision, u64)>,
     /// Jobs whose tasks are returned if they cannot start at once.
     pub(crate) offers: collections::BTreeSet<name::Name>,
     pub(crate) epoch: u64,
@@ -83,7 +83,7 @@
     pub(crate) lease: u64,
     pub(crate) number: u64,
     /// Upstreams without a pending hold.
-    pub(crate) unasked: collections::BTreeSet<name::Name>,
+    pub(crate) idle_sessions: collections::BTreeSet<name::Name>,
     pub(crate) dirty: bool,
     pub(crate) evacuated: bool,
     pub(crate) policy: policy::Policy,
@@ -103,7 +103,7 @@
             sent: collections::HashMap::new(),
             ends: collections::HashMap::new(),
             orphans: collections::BTreeMap::new(),
-            unsure: collections::BTreeSet::new(),
+            uncovered_jobs: collections::BTreeSet::new(),
             known: collections::BTreeMap::new(),
             verdicts: collections::HashMap::new(),
             offers: collections::BTreeSet::new(),
@@ -111,7 +111,7 @@
             since: now,
             lease,
             number: now << 8,
-            unasked: collections::BTreeSet::new(),
+            idle_sessions: collections::BTreeSet::new(),
             dirty: false,
             evacuated: false,
             policy: policy::Policy::default(),
@@ -183,38 +183,38 @@
     }
 
     /// Applies a new record of an upstream of the zone.
-    pub fn record(&mut self, record: &upstream::Record) {
+    pub fn update_upstream(&mut self, record: &upstream::Record) {
         let known = self.sessions.get_mut(&record.id);
         match (known, record.phase) {
             (Some(session), _)
                 if record.serial == u64::MAX && session.record.serial != u64::MAX =>
             {
-                self.bury(&record.id.clone());
+                self.remove_upstream(&record.id.clone());
             }
             (Some(session), _) => {
                 if record.phase != upstream::Phase::Gone {
-                    session.told(record.clone());
+                    session.update_record(record.clone());
                 }
             }
             (None, upstream::Phase::Gone) => {}
             (None, _) => {
                 let session = Session::new(record.clone(), self.epoch);
                 self.sessions.insert(record.id.clone(), session);
-                self.unasked.insert(record.id.clone());
+                self.idle_sessions.insert(record.id.clone());
             }
         }
         self.dirty = true;
     }
 
     /// Sets the number of an upstream in the directory of this instance.
-    pub fn number(&mut self, id: &name::Name, number: u64) {
+    pub fn set_number(&mut self, id: &name::Name, number: u64) {
         if let Some(session) = self.sessions.get_mut(id) {
             session.number = number;
         }
     }
 
     /// Records that an entry knows the upstreams up to a number.
-    pub fn learn(&mut self, entry: &name::Name, number: u64) {
+    pub fn note_known(&mut self, entry: &name::Name, number: u64) {
         let known = self.known.entry(entry.clone()).or_default();
         if number > *known {
             *known = number;
@@ -223,14 +223,14 @@
     }
 
     /// Removes from each job the digests of those sets of upstreams that this scheduler knows.
-    pub fn cover(&mut self, is_covered: impl Fn(u64) -> bool) {
-        for id in std::mem::take(&mut self.unsure) {
+    pub fn clear_covered(&mut self, is_covered: impl Fn(u64) -> bool) {
+        for id in std::mem::take(&mut self.uncovered_jobs) {
             let Some(active) = self.jobs.get_mut(&id) else { continue };
             active.uncovered.retain(|digest| !is_covered(*digest));
             if active.uncovered.is_empty() {
                 self.dirty = true;
             } else {
-                self.unsure.insert(id);
+                self.uncovered_jobs.insert(id);
             }
         }
     }
@@ -240,7 +240,7 @@
     pub fn tick(&mut self, alive: impl Fn(&name::Name) -> Option<u64>, now: u64) {
         self.drop_abandoned(&alive, now);
         self.expire(now);
-        self.lapse(now);
+        self.expire_leases(now);
         self.mark_orphans(now);
         self.give_up_lost(now);
         self.ends.retain(|_, (_, at)| now < *at + END_RETENTION);
@@ -267,27 +267,29 @@
             }
             self.return_offers(now);
         }
-        let pending =
-            self.sessions.values().filter(|session| session.is_asked() && !session.is_heard());
+        let pending = self
+            .sessions
+            .values()
+            .filter(|session| session.is_pending() && !session.is_responsive());
         let mut probes = MAX_PROBES.saturating_sub(pending.count());
         let pace = Pace { sessions: self.sessions.len(), call_timeout: self.call_timeout };
-        for id in std::mem::take(&mut self.unasked) {
+        for id in std::mem::take(&mut self.idle_sessions) {
             let Some(session) = self.sessions.get_mut(&id) else { continue };
-            if !session.is_heard() && session.is_due(now) {
+            if !session.is_responsive() && session.is_due(now) {
                 if probes == 0 {
-                    self.unasked.insert(id);
+                    self.idle_sessions.insert(id);
                     continue;
                 }
                 probes -= 1;
             }
             self.number += 1;
-            match session.due(self.number, self.lease, pace, now) {
+            match session.next_call(self.number, self.lease, pace, now) {
                 Some(call) => {
                     self.sent.insert(call.number, (id, now, Sent::Hold));
                     self.out.calls.push(call);
                 }
-                None if !session.is_asked() => {
-                    self.unasked.insert(id);
+                None if !session.is_pending() => {
+                    self.idle_sessions.insert(id);
                 }
                 None => {}
             }
@@ -302,11 +304,11 @@
         for session in self.sessions.values_mut() {
             session.take_over(epoch, now);
         }
-        self.unasked.extend(self.sessions.keys().cloned());
+        self.idle_sessions.extend(self.sessions.keys().cloned());
         for active in self.jobs.values_mut() {
             active.job.resumed = true;
             active.started = true;
-            active.over = active.over.max(now + FORMER);
+            active.runs_end = active.runs_end.max(now + FORMER_RUN_TIMEOUT);
         }
         self.dirty = true;
     }
@@ -320,14 +322,14 @@
             .get(id)
             .filter(|session| session.record.phase == upstream::Phase::Serving);
         let ran = ran.map(|session| session.runs.keys().chain(&session.lapsed).cloned().collect());
-        self.bury(id);
+        self.remove_upstream(id);
         if let Some(tasks) = ran {
-            self.lose(suspect::Loss { upstream: id.clone(), proved: true, tasks });
+            self.report_loss(suspect::Loss { upstream: id.clone(), proved: true, tasks });
         }
     }
 
     /// Reports to all schedulers the loss of an upstream on which tasks may have been running.
-    pub(crate) fn lose(&mut self, loss: suspect::Loss) {
+    pub(crate) fn report_loss(&mut self, loss: suspect::Loss) {
         if loss.tasks.is_empty() {
             return;
         }
@@ -347,7 +349,7 @@
         }
     }
 
-    pub(crate) fn bury(&mut self, id: &name::Name) {
+    pub(crate) fn remove_upstream(&mut self, id: &name::Name) {
         if let Some(session) = self.sessions.remove(id) {
             for task in session.runs.into_keys() {
                 self.requeue(id, &task);
@@ -358,7 +360,7 @@
 
     pub(crate) fn requeue(&mut self, id: &name::Name, task: &Task) {
         if let Some(active) = self.jobs.get_mut(&task.job)
-            && active.item(task).is_some_and(|item| item.phase == Phase::Placed(id.clone()))
+            && active.task(task).is_some_and(|item| item.phase == Phase::Placed(id.clone()))
         {
             active.set(task, Phase::Waiting);
         }
@@ -374,8 +376,8 @@
     }
 
     /// Completes a job if all its tasks are done.
-    pub(crate) fn settle(&mut self, id: &name::Name, now: u64) {
-        if self.jobs.get(id).is_some_and(Active::is_complete) {
+    pub(crate) fn finish_if_complete(&mut self, id: &name::Name, now: u64) {
+        if self.jobs.get(id).is_some_and(ActiveJob::is_complete) {
             self.finish(id, Verdict::Complete, now);
         }
     }
@@ -388,32 +390,32 @@
                 active.waiting(),
                 active.entry
             );
-            if let Some(parts) = active.last {
+            if let Some(parts) = active.last_breakdown {
                 detail = format!("{detail}, {parts}");
             }
             let note = event::Note { text: "job: Ended.", subject: id.clone(), detail };
             self.out.notes.push(note);
             let (entry, number, share) = (active.entry.clone(), active.number, active.held());
-            self.rule(&entry, id, message::Ruling { number, share, verdict }, now);
+            self.send_verdict(&entry, id, message::Decision { number, share, verdict }, now);
         }
         self.drop_job(id);
     }
 
     /// Sends a job's verdict to its entry, and keeps the verdict.
-    pub(crate) fn rule(
+    pub(crate) fn send_verdict(
         &mut self,
         entry: &name::Name,
         id: &name::Name,
-        ruling: message::Ruling,
+        decision: message::Decision,
         now: u64,
     ) {
-        self.out.verdicts.push((entry.clone(), id.clone(), ruling.clone()));
-        self.verdicts.insert(id.clone(), (ruling, now));
+        self.out.verdicts.push((entry.clone(), id.clone(), decision.clone()));
+        self.verdicts.insert(id.clone(), (decision, now));
     }
 
     pub(crate) fn drop_job(&mut self, id: &name::Name) {
         let Some(active) = self.jobs.remove(id) else { return };
-        for (step, items) in active.items.iter().enumerate() {
+        for (step, items) in active.tasks.iter().enumerate() {
             for (index, item) in items.iter().enumerate() {
                 if let Phase::Placed(session) = &item.phase {
                     let task = Task { job: id.clone(), step: step as u32, index: index as u32 };
--- a/crates/dispatch/src/scheduling.rs
+++ b/crates/dispatch/src/scheduling.rs
@@ -61,7 +61,7 @@
         let candidate = leadership::Candidate {
             schedules: self.is_scheduler(),
             equipped: self.document.version > 0 && self.knows_upstreams(),
-            weak: self.is_weak(),
+            low_capacity: self.has_low_capacity(),
         };
         if let Some(claim) = self.claims.campaign(&self.membership, candidate, now) {
             self.lead(&claim, now);
@@ -84,7 +84,7 @@
     }
 
     /// Whether scheduling its zone would take more processor time than this instance has for it.
-    pub(crate) fn is_weak(&self) -> bool {
+    pub(crate) fn has_low_capacity(&self) -> bool {
         let zone = self.zones.get(&self.membership.me().zone);
         let upstreams = zone.map_or(0, |zone| zone.directory.len() as u64);
         upstreams * CPU_PER_UPSTREAM > self.cores * CPU_PERCENT / 100
@@ -95,7 +95,9 @@
         for zone in self.scheduled_zones() {
             let me = self.membership.me();
             let holder = self.claims.of(&zone);
-            if holder.is_some_and(|claim| claim.holder == me.name && claim.life == me.life) {
+            if holder
+                .is_some_and(|claim| claim.holder == me.name && claim.incarnation == me.incarnation)
+            {
                 continue;
             }
             let holder = holder.map_or_else(|| me.name.clone(), |claim| claim.holder.clone());
@@ -115,17 +117,17 @@
             .with_slot(self.scheduled_zones().len() as u64)
             .with_policy(self.policy);
         // This instance's entry knows at once every upstream that its scheduler knows.
-        sched.learn(&claim.holder, u64::MAX - 1);
+        sched.note_known(&claim.holder, u64::MAX - 1);
         let zone = self.zones.entry(claim.zone.clone()).or_default();
         zone.lead(sched, self.table.of_zone(&claim.zone));
         let detail = format!("{}, epoch {}", claim.zone, claim.epoch);
         self.note("zone: Scheduling.", &claim.holder, detail);
         // The heartbeats go out at once, so that entries submit their jobs again.
-        self.beat_all(now);
-        self.beat_zone(&claim.zone, now);
+        self.send_heartbeats_to_all(now);
+        self.send_heartbeats_to_zone(&claim.zone, now);
     }
 
-    pub(crate) fn tell_sched(&mut self, record: &upstream::Record) {
+    pub(crate) fn forward_record(&mut self, record: &upstream::Record) {
         let me = self.membership.me();
         if record.zone == me.zone || me.role == member::Role::Keeper {
             self.zones.entry(record.zone.clone()).or_default().record(record);
@@ -133,39 +135,39 @@
     }
 
     /// Applies the findings of a scheduler about tasks and lost upstreams.
-    pub(crate) fn settle_findings(&mut self, name: &name::Name, now: Now) {
+    pub(crate) fn apply_findings(&mut self, name: &name::Name, now: Now) {
         let sched = self.zones.get_mut(name).and_then(|zone| zone.sched.as_mut());
         let findings = sched.map(sched::Sched::take_findings).unwrap_or_default();
-        self.suspects.learn(&findings);
+        self.suspects.apply_findings(&findings);
         self.note_losses(&findings.losses, now);
         self.send_losses(&findings.losses, now);
     }
 
-    pub(crate) fn settle_sched(&mut self, name: &name::Name, now: Now) {
+    pub(crate) fn apply_output(&mut self, name: &name::Name, now: Now) {
         let Some(zone) = self.zones.get_mut(name) else { return };
         let Some(sched) = &mut zone.sched else { return };
         let membership = &self.membership;
         sched.set_evacuated(self.evacuations.has(name));
-        sched.cover(|digest| zone.directory.find(digest).is_some());
+        sched.clear_covered(|digest| zone.directory.find(digest).is_some());
         sched.run(|entry| membership.clock(entry, now.mono), &self.suspects, now.mono);
         let out = sched.take();
         self.out.extend(out.calls.into_iter().map(Output::Call));
         self.out.extend(out.notes.into_iter().map(Output::Note));
         self.out.extend(out.measures.into_iter().map(Output::Measure));
-        for (to, id, ruling) in out.verdicts {
-            self.send(&to, Body::Verdict(id, Box::new(ruling)), now);
+        for (to, id, decision) in out.verdicts {
+            self.send(&to, Body::Verdict(id, Box::new(decision)), now);
         }
         for (to, id, spare) in out.spares {
             // An entry that does not know that the zone is evacuated would submit the tasks to it
             // again.
             if !self.knows_evacuations(&to) {
-                self.beat_now(&to, now);
+                self.send_heartbeat(&to, now);
             }
             self.send(&to, Body::Spare(id, spare), now);
         }
         for (id, last) in out.gone {
-            if let Some(record) = self.table.bury(&id, last) {
-                self.spread(&record, now);
+            if let Some(record) = self.table.mark_gone(&id, last) {
+                self.send_record(&record, now);
             }
         }
         if !out.outranked.is_empty() {
@@ -182,7 +184,7 @@
     }
 
     /// Sends a scheduler that receives a job the losses of upstreams that ran tasks of the job.
-    pub(crate) fn tell_former(&mut self, to: &name::Name, job: &name::Name, now: Now) {
+    pub(crate) fn send_former_losses(&mut self, to: &name::Name, job: &name::Name, now: Now) {
         let losses = self.suspects.losses_of(job);
         if !losses.is_empty() {
             self.send(to, Body::Lost(losses), now);
@@ -199,7 +201,9 @@
         let (me, zone) = (self.membership.me().name.clone(), self.membership.me().zone.clone());
         let concerned = |name: &&name::Name| {
             let card = self.membership.peer(name).and_then(|peer| peer.card.as_ref());
-            card.is_some_and(|card| self.is_told(card, &zone) || self.is_told(card, &card.zone))
+            card.is_some_and(|card| {
+                self.receives_records(card, &zone) || self.receives_records(card, &card.zone)
+            })
         };
         let tasks = losses.iter().flat_map(|loss| &loss.tasks);
         let entries =
@@ -225,9 +229,9 @@
         let me = self.membership.me().clone();
         let Some(zone) = self.zones.get_mut(name) else { return };
         // Refusals that stopped were resolved by another claim.
-        let since = zone.outranked.filter(|(_, last)| now.mono < last + CLAIM_WAIT);
+        let since = zone.token_refusals.filter(|(_, last)| now.mono < last + CLAIM_WAIT);
         let first = since.map_or(now.mono, |(first, _)| first);
-        zone.outranked = Some((first, now.mono));
+        zone.token_refusals = Some((first, now.mono));
         if since.is_none() {
             let detail = format!("{} in all", ids.len());
             self.note("zone: An upstream has seen a higher token.", &ids[0], detail);
@@ -245,12 +249,12 @@
                 name.to_string(),
             );
         }
-        if now.mono < first + CLAIM_WAIT + leadership::turn(&self.membership, now.mono) {
+        if now.mono < first + CLAIM_WAIT + leadership::rank_delay(&self.membership, now.mono) {
             return;
         }
-        let claim = self.claims.supersede(&me, name, now);
+        let claim = self.claims.outbid(&me, name, now);
         let Some(zone) = self.zones.get_mut(name) else { return };
-        zone.outranked = None;
+        zone.token_refusals = None;
         if let Some(sched) = &mut zone.sched {
             sched.supersede(claim.epoch, now.mono);
         }
--- a/crates/dispatch/src/session.rs
+++ b/crates/dispatch/src/session.rs
@@ -68,7 +68,7 @@
     /// When the run entered its stage.
     pub since: u64,
     /// When it was ordered and confirmed as begun; `None` for a run that another scheduler started.
-    pub begun: Option<timing::Begun>,
+    pub timing: Option<timing::RunTiming>,
     /// Its declared duration, milliseconds; 0 if none was declared.
     pub estimate: u64,
     /// Last progress: the time and the amount done.
@@ -172,7 +172,7 @@
     }
 
     /// Replaces the record by a newly announced one.
-    pub fn told(&mut self, record: upstream::Record) {
+    pub fn update_record(&mut self, record: upstream::Record) {
         if record.room != self.record.room {
             self.capacity_limit = capacity_limit::CapacityLimit::default();
         }
@@ -192,7 +192,7 @@
     }
 
     /// Whether the upstream has answered the last call of this owner.
-    pub fn is_heard(&self) -> bool {
+    pub fn is_responsive(&self) -> bool {
         self.owned && self.silent.is_none()
     }
 
@@ -202,11 +202,11 @@
     }
 
     /// Returns the call that is due, if there is one.
-    pub fn due(&mut self, number: u64, lease: u64, pace: Pace, now: u64) -> Option<Call> {
+    pub fn next_call(&mut self, number: u64, lease: u64, pace: Pace, now: u64) -> Option<Call> {
         if !self.is_due(now) {
             return None;
         }
-        let (heard, lossy) = (self.is_heard(), pace.call_timeout.is_lossy());
+        let (heard, lossy) = (self.is_responsive(), pace.call_timeout.is_lossy());
         let scaled = |wait: u64, longest| {
             (wait * pace.sessions as u64 / UNSCALED_SESSIONS).clamp(wait, longest)
         };
@@ -228,23 +228,23 @@
         let order = Order::Hold { seen: self.seen, until, wait };
         // Timers of upstreams may fire late, and the owner would never know whether an answer was
         // late.
-        Some(self.call(number, order, wait + call_timeout::PATIENCE))
+        Some(self.call(number, order, wait + call_timeout::MAX_TIMEOUT))
     }
 
     /// Whether a hold is pending.
-    pub fn is_asked(&self) -> bool {
+    pub fn is_pending(&self) -> bool {
         self.hold.is_some()
     }
 
     /// Builds a call with an order.
-    pub fn call(&self, number: u64, order: Order, patience: u64) -> Call {
+    pub fn call(&self, number: u64, order: Order, timeout: u64) -> Call {
         Call {
             number,
             upstream: self.record.id.clone(),
             address: self.record.address.clone(),
             fence: self.fence,
             order,
-            patience,
+            timeout,
         }
     }
 
@@ -253,7 +253,7 @@
         let clock = self.clock?;
         let until = clock.remote + now.saturating_sub(clock.local) / time::MS + lease;
         let left = until.saturating_sub(clock.remote) * time::MS;
-        let end = clock.local + left + left * time::SLOW_CLOCK / 1_000;
+        let end = clock.local + left + left * time::MAX_DRIFT / 1_000;
         self.lease_end = self.lease_end.max(end);
         Some(until)
     }
@@ -264,7 +264,7 @@
     }
 
     /// Records the upstream's clock from an answer.
-    pub fn tell_time(&mut self, remote: u64, now: u64) {
+    pub fn set_clock(&mut self, remote: u64, now: u64) {
         self.clock = Some(Clock { remote, local: now });
     }
 
@@ -281,7 +281,7 @@
     /// Handles an order without an answer: it may take effect until the upstream has seen a higher
     /// token.
     pub fn mark_unconfirmed(&mut self, now: u64) {
-        self.fence += claim::NEXT_FENCE;
+        self.fence += claim::FENCE_STEP;
         self.silent.get_or_insert(now);
         self.hold = None;
         self.retry_at = now;
@@ -304,7 +304,7 @@
     }
 
     /// Handles a hold without an answer.
-    pub fn miss(&mut self, now: u64) {
+    pub fn note_timeout(&mut self, now: u64) {
         self.silent.get_or_insert(now);
         self.retry_at =
             now + if self.failures == 0 { 0 } else { RETRY_DELAY << (self.failures - 1) };
--- a/crates/dispatch/src/slow.rs
+++ b/crates/dispatch/src/slow.rs
@@ -35,12 +35,12 @@
         let usual = self.usual;
         let pace = |row: &Running| {
             let run = session.runs.get(&row.task).filter(|run| run.attempt == row.attempt)?;
-            let whole = speed::projected(run.begun?.elapsed(clock)?, row.percent)?;
+            let whole = speed::projected(run.timing?.elapsed(clock)?, row.percent)?;
             (run.estimate > 0).then(|| usual.compare(whole / run.estimate as f64))
         };
         let paces: smallvec::SmallVec<[f64; 4]> = running.iter().filter_map(pace).collect();
         let was_slow = session.speed.is_slow(now);
-        session.speed.set_going(paces.into_iter(), now);
+        session.speed.set_ongoing(paces.into_iter(), now);
         self.log_slowness(id, was_slow, now);
     }
 
--- a/crates/dispatch/src/speed.rs
+++ b/crates/dispatch/src/speed.rs
@@ -64,7 +64,7 @@
     }
 
     /// Sets the ratios that the runs in progress would reach at their present pace.
-    pub fn set_going(&mut self, ratios: impl Iterator<Item = f64>, now: u64) {
+    pub fn set_ongoing(&mut self, ratios: impl Iterator<Item = f64>, now: u64) {
         self.ongoing = ratios.fold(self.decayed(now), average);
     }
 
--- a/crates/dispatch/src/start.rs
+++ b/crates/dispatch/src/start.rs
@@ -3,7 +3,7 @@
 use state::name;
 
 use crate::{
-    active::{Active, Phase},
+    active::{ActiveJob, Phase},
     event,
     job::{self, Task},
     order::Order,
@@ -15,8 +15,8 @@
 
 /// The scheduler starts a task only if its entry has asked for the job within this time by the
 /// clock of the entry, microseconds. It is less than the time after which the scheduler drops the
-/// job ([`upkeep::ABANDONED`]), since a job that waited longer may belong to another scheduler.
-const MAX_STAMP_AGE: u64 = 850 * time::MS;
+/// job ([`upkeep::ABANDON_AFTER`]), since a job that waited longer may belong to another scheduler.
+const MAX_QUERY_AGE: u64 = 850 * time::MS;
 
 impl Sched {
     /// Places waiting tasks, job by job in the order of the queue.
@@ -30,15 +30,16 @@
             return;
         }
         let unread = self.sessions.values().any(|session| !session.is_read());
-        // A stamp later than the entry's clock comes from a former incarnation of the entry.
-        let fresh = |active: &Active| {
-            let is_fresh = |clock| (active.stamp..=active.stamp + MAX_STAMP_AGE).contains(&clock);
+        // A time later than the entry's clock comes from a former incarnation of the entry.
+        let fresh = |active: &ActiveJob| {
+            let is_fresh =
+                |clock| (active.entry_clock..=active.entry_clock + MAX_QUERY_AGE).contains(&clock);
             alive(&active.entry).is_some_and(is_fresh)
         };
-        let mut room = place::Room::new(&self.sessions, suspects, self.policy, now);
-        let most = room.most();
-        let waits = |active: &&Active| {
-            active.waiting() > 0 && !active.is_blocked(unread, now) && active.job.least() <= most
+        let mut placement = place::Placement::new(&self.sessions, suspects, self.policy, now);
+        let most = placement.max_free();
+        let waits = |active: &&ActiveJob| {
+            active.waiting() > 0 && !active.is_blocked(unread, now) && active.job.min_cpu() <= most
         };
         let load = self.load(now);
         let congested = self.policy.shortest_first && queue::is_congested(load);
@@ -50,11 +51,11 @@
         let mut queued: Vec<_> = ranked.filter(|(rank, _)| is_accepted(rank.0)).collect();
         queued.sort_by_key(|(rank, active)| (*rank, &active.job.id));
         for (_, active) in queued {
-            let known = self.known.get(&active.entry).copied().unwrap_or(0);
-            let left = queue::useful_until(active, now).saturating_sub(now) / time::MS;
-            place_job(active, place::Limit { known, left }, &mut room);
+            let known_number = self.known.get(&active.entry).copied().unwrap_or(0);
+            let time_left = queue::useful_until(active, now).saturating_sub(now) / time::MS;
+            place_job(active, place::Limit { known_number, time_left }, &mut placement);
         }
-        for (task, session) in room.into_placed() {
+        for (task, session) in placement.into_placed() {
             self.start(&task, &session, now);
         }
     }
@@ -72,14 +73,14 @@
         let idle = waited.min(now.saturating_sub(session.freed));
         self.out.measures.push(event::Measure::IdleRoom(idle));
         active.set(task, Phase::Placed(id.clone()));
-        let Some(item) = active.item_mut(task) else { return };
+        let Some(item) = active.task_mut(task) else { return };
         item.attempt += 1;
         let attempt = item.attempt;
         let stage = Stage::Starting;
-        let begun = Some(timing::Begun::new(now));
+        let timing = Some(timing::RunTiming::new(now));
         let progress = (now, 0);
         let run =
-            Run { attempt, need, stage, since: now, begun, estimate, progress, unwanted: None };
+            Run { attempt, need, stage, since: now, timing, estimate, progress, unwanted: None };
         session.runs.insert(task.clone(), run);
         self.number += 1;
         let spec = active.job.spec.clone();
@@ -96,13 +97,13 @@
         self.out.notes.push(event::Note { text, subject, detail });
         let order = Order::Start { task: task.clone(), attempt, spec, until, waited };
         self.sent.insert(self.number, (id.clone(), now, Sent::Start(task.clone(), attempt)));
-        self.out.calls.push(session.call(self.number, order, self.call_timeout.patience()));
+        self.out.calls.push(session.call(self.number, order, self.call_timeout.timeout()));
     }
 }
 
 /// Places the tasks of a job that may start, as far as there is room for them.
-fn place_job(active: &Active, limit: place::Limit, room: &mut place::Room<'_>) {
-    for (step, items) in active.items.iter().enumerate() {
+fn place_job(active: &ActiveJob, limit: place::Limit, placement: &mut place::Placement<'_>) {
+    for (step, items) in active.tasks.iter().enumerate() {
         if !active.is_due(step) {
             continue;
         }
@@ -112,7 +113,7 @@
             }
             let job = active.job.id.clone();
             let task = Task { job, step: step as u32, index: index as u32 };
-            if room.place(&active.job, &task, limit) == place::Choice::Full {
+            if placement.place(&active.job, &task, limit) == place::Choice::Full {
                 break;
             }
         }
--- a/crates/dispatch/src/status.rs
+++ b/crates/dispatch/src/status.rs
@@ -56,7 +56,7 @@
 
 /// Load of a zone that this instance schedules.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct ZoneLoad {
     /// The zone.
     pub zone: name::Name,
     /// Capacity of its upstreams, less the demand of waiting tasks.
@@ -67,11 +67,11 @@
 
 impl Core {
     /// Returns the load of the zones that this instance schedules.
-    pub fn rooms(&self, now: time::Now) -> Vec<Room> {
+    pub fn rooms(&self, now: time::Now) -> Vec<ZoneLoad> {
         let room = |(name, zone): (&name::Name, &zone::Zone)| {
             let sched = zone.sched.as_ref()?;
             let (zone, load) = (name.clone(), sched.load(now.mono));
-            Some(Room { zone, load, waiting: sched.waiting() })
+            Some(ZoneLoad { zone, load, waiting: sched.waiting() })
         };
         self.zones.iter().filter_map(room).collect()
     }
--- a/crates/dispatch/src/submissions.rs
+++ b/crates/dispatch/src/submissions.rs
@@ -20,7 +20,7 @@
     assignment, claim,
     event::{Measure, Note, Ticket},
     job::{Job, Refusal, Verdict},
-    message::{Awaited, Body, Handover, Load, Ruling, Spare},
+    message::{Awaited, Body, Decision, Handover, Load, ReturnedTasks},
     sched, share, time,
     view::View,
 };
@@ -34,7 +34,7 @@
 const NO_SCHEDULER_TIMEOUT: u64 = 1_400 * time::MS;
 /// After this time a lost scheduler has dropped the job and its leases have expired, microseconds;
 /// from then on another zone may take the job.
-const FORMER_TIMEOUT: u64 = sched::FORMER;
+const FORMER_TIMEOUT: u64 = sched::FORMER_RUN_TIMEOUT;
 /// How long the entry waits before it asks a zone again that had no room, microseconds. This is
 /// less than the duration of the shortest tasks (60 ms); while all zones are full, each entry asks
 /// each of them 20 times a second.
@@ -71,7 +71,7 @@
     /// Its tasks that are not known to be done, grouped by the scheduler that holds them.
     parts: smallvec::SmallVec<[assignment::Assignment; 1]>,
     /// Whether a scheduler kept some of the tasks when it returned others, or has completed them.
-    begun: bool,
+    may_have_started: bool,
     /// Whether a completed part had been assigned to another scheduler before.
     resumed: bool,
     /// Zones in which parts of it were completed.
@@ -133,7 +133,7 @@
     /// The schedulers that hold jobs of this entry's clients.
     pub fn schedulers(&self) -> impl Iterator<Item = &name::Name> {
         let parts = self.open.values().flat_map(|open| &open.parts);
-        parts.filter_map(|part| part.with.as_ref()).map(|claim| &claim.holder)
+        parts.filter_map(|part| part.claim.as_ref()).map(|claim| &claim.holder)
     }
 
     /// Accepts a job from a client.
@@ -148,13 +148,21 @@
         let part = assignment::Assignment::new(number, share::Share::ALL, view.now);
         let (tickets, parts) = (smallvec::smallvec![ticket], smallvec::smallvec![part]);
         let (arrived, zones) = (view.now, smallvec::SmallVec::new());
-        let open = OpenJob { job, tickets, arrived, parts, begun: false, resumed: false, zones };
+        let open = OpenJob {
+            job,
+            tickets,
+            arrived,
+            parts,
+            may_have_started: false,
+            resumed: false,
+            zones,
+        };
         self.open.insert(id.clone(), open);
         self.assign(&id, number, view);
     }
 
     /// Handles the disconnect of the client of a ticket.
-    pub fn left(&mut self, ticket: Ticket) {
+    pub fn disconnect(&mut self, ticket: Ticket) {
         let Some(id) = self.tickets.remove(&ticket) else { return };
         let Some(open) = self.open.get_mut(&id) else { return };
         open.tickets.retain(|other| *other != ticket);
@@ -169,18 +177,18 @@
     }
 
     /// Handles the verdict of a scheduler on its part of a job.
-    pub fn verdict(&mut self, from: &name::Name, id: &name::Name, ruling: &Ruling, now: u64) {
+    pub fn verdict(&mut self, from: &name::Name, id: &name::Name, decision: &Decision, now: u64) {
         let Some(open) = self.open.get_mut(id) else { return };
-        match &ruling.verdict {
+        match &decision.verdict {
             Verdict::Complete => {
                 // The tasks are done, regardless of which scheduler ran them.
                 let (done, rest): (Vec<_>, Vec<_>) =
-                    open.parts.drain(..).partition(|part| ruling.share.covers(&part.share));
+                    open.parts.drain(..).partition(|part| decision.share.covers(&part.share));
                 open.parts = rest.into();
-                open.begun = true;
+                open.may_have_started = true;
                 open.resumed |= done.iter().any(|part| part.resumed);
-                open.zones.extend(done.iter().filter_map(|part| part.pin.clone()));
-                let others = done.into_iter().filter_map(|part| part.with);
+                open.zones.extend(done.iter().filter_map(|part| part.pinned_zone.clone()));
+                let others = done.into_iter().filter_map(|part| part.claim);
                 let others = others.filter(|claim| claim.holder != *from);
                 let cancels = others.map(|claim| (claim.holder, Body::Cancel(id.clone())));
                 self.out.sends.extend(cancels);
@@ -193,11 +201,11 @@
             // that holds some of its tasks, may have started it.
             Verdict::NotRun(_) | Verdict::GaveUp => {
                 let is_meant = |part: &&assignment::Assignment| {
-                    part.number == ruling.number && part.is_with(from)
+                    part.number == decision.number && part.is_with(from)
                 };
                 let Some(part) = open.parts.iter().find(is_meant) else { return };
-                let sole = open.parts.len() == 1 && !open.begun && !part.resumed;
-                let verdict = if sole { &ruling.verdict } else { &Verdict::GaveUp };
+                let sole = open.parts.len() == 1 && !open.may_have_started && !part.resumed;
+                let verdict = if sole { &decision.verdict } else { &Verdict::GaveUp };
                 self.close(id, verdict, now);
             }
         }
@@ -217,13 +225,19 @@
 
     /// Handles tasks that a scheduler returns because it has no room for them; the next scheduler
     /// may have some.
-    pub fn spare(&mut self, from: &name::Name, id: &name::Name, spare: &Spare, view: View<'_>) {
+    pub fn spare(
+        &mut self,
+        from: &name::Name,
+        id: &name::Name,
+        spare: &ReturnedTasks,
+        view: View<'_>,
+    ) {
         let number = self.next_number(view.now);
         let Some(open) = self.open.get_mut(id) else { return };
         let is_meant =
             |part: &&mut assignment::Assignment| part.number == spare.number && part.is_with(from);
         let Some(part) = open.parts.iter_mut().find(is_meant) else { return };
-        if let Some(claim) = &part.with {
+        if let Some(claim) = &part.claim {
             self.loads.insert(claim.zone.clone(), (spare.load, view.now));
         }
         let count = open.job.steps.first().map_or(0, |step| step.count);
@@ -232,7 +246,7 @@
         if tasks.is_empty() {
             return;
         }
-        open.begun |= spare.begun;
+        open.may_have_started |= spare.may_have_started;
         if kept.is_empty() {
             part.returned();
             return self.assign(id, spare.number, view);
@@ -240,15 +254,15 @@
         part.share = kept;
         let rest = part.split(number, tasks, view.now);
         open.parts.push(rest);
-        open.begun = true;
+        open.may_have_started = true;
         self.assign(id, number, view);
     }
 
     /// Handles everything that is due.
     pub fn tick(&mut self, view: View<'_>) {
         let now = view.now;
-        self.leaderless = if view.is_led() { None } else { self.leaderless.or(Some(now)) };
-        let mut ask: collections::BTreeMap<(name::Name, name::Name), Vec<Awaited>> =
+        self.leaderless = if view.has_scheduler() { None } else { self.leaderless.or(Some(now)) };
+        let mut queries: collections::BTreeMap<(name::Name, name::Name), Vec<Awaited>> =
             collections::BTreeMap::new();
         let mut again = Vec::new();
         let mut over = Vec::new();
@@ -260,18 +274,18 @@
             for part in &mut open.parts {
                 match part.tick(view, AWAIT_INTERVAL, FORMER_TIMEOUT) {
                     assignment::Due::Nothing => {}
-                    assignment::Due::Ask => {
-                        if let Some(claim) = &part.with {
+                    assignment::Due::Refresh => {
+                        if let Some(claim) = &part.claim {
                             let seat = (claim.holder.clone(), claim.zone.clone());
                             let count = part.share.len(open.job.count());
                             let awaited = Awaited { job: id.clone(), number: part.number, count };
-                            ask.entry(seat).or_default().push(awaited);
+                            queries.entry(seat).or_default().push(awaited);
                         }
                     }
-                    assignment::Due::Give => again.push((id.clone(), part.number)),
+                    assignment::Due::HandOver => again.push((id.clone(), part.number)),
                 }
             }
-            if !open.is_given() && now >= open.arrived + NO_SCHEDULER_TIMEOUT {
+            if !open.is_handed_over() && now >= open.arrived + NO_SCHEDULER_TIMEOUT {
                 over.push((id.clone(), Verdict::NotRun(Refusal::NoScheduler)));
             }
         }
@@ -281,7 +295,7 @@
         for (id, number) in again {
             self.assign(&id, number, view);
         }
-        let sends = ask.into_iter().map(|((to, zone), ids)| (to, Body::Await(zone, ids, now)));
+        let sends = queries.into_iter().map(|((to, zone), ids)| (to, Body::Await(zone, ids, now)));
         self.out.sends.extend(sends);
     }
 
@@ -292,7 +306,8 @@
         }
         let took = now.saturating_sub(open.arrived) / time::MS;
         let resumed = open.resumed || open.parts.iter().any(|part| part.resumed);
-        let zones = open.parts.iter().filter_map(|part| part.pin.as_ref()).chain(&open.zones);
+        let zones =
+            open.parts.iter().filter_map(|part| part.pinned_zone.as_ref()).chain(&open.zones);
         let zones: Vec<_> = zones.map(name::Name::as_str).collect();
         let detail = format!(
             "{verdict:?} after {took} ms, objective {} ms, zones {}, resumed {resumed}",
@@ -308,7 +323,7 @@
 
     /// Tells the schedulers that no client awaits the job any more.
     fn cancel(&mut self, id: &name::Name, open: &OpenJob) {
-        let holders = open.parts.iter().filter_map(|part| part.with.as_ref());
+        let holders = open.parts.iter().filter_map(|part| part.claim.as_ref());
         let cancels = holders.map(|claim| (claim.holder.clone(), Body::Cancel(id.clone())));
         self.out.sends.extend(cancels);
     }
@@ -327,28 +342,28 @@
         let next = self.next_number(view.now);
         let Some(open) = self.open.get_mut(id) else { return };
         let at = open.join(at, &choice.claim);
-        let begun = open.begun || open.parts.len() > 1;
+        let may_have_started = open.may_have_started || open.parts.len() > 1;
         let part = &mut open.parts[at];
-        let told = view.told(&choice.claim).unwrap_or(0);
+        let told = view.reported_digest(&choice.claim).unwrap_or(0);
         let handover = Handover {
             number: next,
             share: part.share.clone(),
             offer: choice.offer,
-            begun,
+            may_have_started,
             upstreams: told,
-            former: part.former.clone(),
-            parted: part.parted(view.now),
+            former: part.former_digests.clone(),
+            release_age: part.since_asked(view.now),
         };
         part.number = next;
-        part.told = told;
-        part.asked = view.now;
-        part.given = true;
-        part.lost = None;
-        part.pin = Some(choice.claim.zone.clone());
-        part.with = Some(choice.claim.clone());
+        part.last_digest = told;
+        part.last_asked = view.now;
+        part.handed_over = true;
+        part.lost_since = None;
+        part.pinned_zone = Some(choice.claim.zone.clone());
+        part.claim = Some(choice.claim.clone());
         let mut job = open.job.clone();
         job.resumed = part.resumed;
-        job.stamp = view.now;
+        job.entry_clock = view.now;
         job.age += view.now.saturating_sub(open.arrived) / time::MS;
         let count = part.share.len(job.count());
         let evacuated = !view.is_open(&view.membership.me().zone);
@@ -357,7 +372,7 @@
 
     /// The reason to refuse tasks that no scheduler can take at present, unless they should wait.
     fn refusal(&self, part: &assignment::Assignment, view: View<'_>) -> Option<Refusal> {
-        if part.pin.is_some() {
+        if part.pinned_zone.is_some() {
             None
         } else if view.is_closed() {
             Some(Refusal::Evacuated)
@@ -378,12 +393,12 @@
         claim: claim::Claim,
         evacuated: bool,
     ) {
-        let need = job.widest() as i64 * i64::from(count);
+        let need = job.max_cpu() as i64 * i64::from(count);
         let mut free = 0;
         if let Some((load, told)) = self.loads.get_mut(&claim.zone) {
             load.free -= need;
             free = load.free;
-            self.out.measures.push(Measure::LoadAge(job.stamp.saturating_sub(*told)));
+            self.out.measures.push(Measure::LoadAge(job.entry_clock.saturating_sub(*told)));
         }
         let detail = format!(
             "{count} tasks to {} in {}, epoch {}, {free}m of its free cores left by its last word, \
@@ -414,16 +429,16 @@
         view: View<'_>,
     ) -> Option<Choice> {
         let home = &view.membership.me().zone;
-        let reached = |claim: &&claim::Claim| view.membership.holds(claim, view.now);
-        if let Some(zone) = &part.pin {
+        let reached = |claim: &&claim::Claim| view.membership.is_holder_alive(claim, view.now);
+        if let Some(zone) = &part.pinned_zone {
             let claim = view.claims.of(zone).filter(reached)?.clone();
             return Some(Choice { claim, offer: false });
         }
         let able: smallvec::SmallVec<[&claim::Claim; 8]> =
             view.claims.iter().filter(reached).filter(|claim| view.is_open(&claim.zone)).collect();
-        let least = open.job.least() as i64;
+        let min_cpu = open.job.min_cpu() as i64;
         let is_hopeful = |claim: &&&claim::Claim| {
-            !part.tried.contains(&claim.zone) && !self.is_full(&claim.zone, least, view.now)
+            !part.full_zones.contains(&claim.zone) && !self.is_full(&claim.zone, min_cpu, view.now)
         };
         let freshest = able.iter().filter_map(|claim| view.heard(claim)).max().unwrap_or(0);
         let late = |claim: &claim::Claim| {
@@ -440,13 +455,13 @@
                 return Some(Choice { claim: (*claim).clone(), offer: true });
             }
         }
-        let need = open.job.widest() as i64 * i64::from(part.share.len(open.job.count()));
+        let need = open.job.max_cpu() as i64 * i64::from(part.share.len(open.job.count()));
         let queue = |claim: &&&claim::Claim| {
             let free = self.free(&claim.zone);
             (!late(claim), free.min(need), claim.zone == *home, free)
         };
         let claim = (*able.iter().max_by_key(queue)?).clone();
-        let fresh = !open.begun && !part.resumed && view.now < open.arrived + HOME_WAIT;
+        let fresh = !open.may_have_started && !part.resumed && view.now < open.arrived + HOME_WAIT;
         if homeless && fresh && self.free(&claim.zone) < need {
             return None;
         }
@@ -460,11 +475,11 @@
     }
 
     /// Whether a zone reported within [`FULL_RETENTION`] that it had no room for a task that needs
-    /// `least`.
-    fn is_full(&self, zone: &name::Name, least: i64, now: u64) -> bool {
+    /// `min_cpu`.
+    fn is_full(&self, zone: &name::Name, min_cpu: i64, now: u64) -> bool {
         self.loads
             .get(zone)
-            .is_some_and(|(load, at)| load.free < least && now < at + FULL_RETENTION)
+            .is_some_and(|(load, at)| load.free < min_cpu && now < at + FULL_RETENTION)
     }
 
     fn next_number(&mut self, now: u64) -> u64 {
@@ -475,20 +490,20 @@
 
 impl OpenJob {
     /// Whether a scheduler may have started any of its tasks.
-    fn is_given(&self) -> bool {
-        self.begun || self.parts.iter().any(|part| part.given)
+    fn is_handed_over(&self) -> bool {
+        self.may_have_started || self.parts.iter().any(|part| part.handed_over)
     }
 
     /// The verdict for a job that cannot continue for the reason `refusal`.
     fn final_verdict(&self, refusal: Refusal) -> Verdict {
-        if self.is_given() { Verdict::GaveUp } else { Verdict::NotRun(refusal) }
+        if self.is_handed_over() { Verdict::GaveUp } else { Verdict::NotRun(refusal) }
     }
 
     /// Merges a part with the part that the holder of a claim already has, if there is one, and
     /// returns the position of the part to send.
     fn join(&mut self, at: usize, claim: &claim::Claim) -> usize {
         let has = |(other, part): &(usize, &assignment::Assignment)| {
-            *other != at && part.with.as_ref() == Some(claim)
+            *other != at && part.claim.as_ref() == Some(claim)
         };
         let Some((other, _)) = self.parts.iter().enumerate().find(has) else { return at };
         let part = self.parts.remove(at);
--- a/crates/dispatch/src/suspect.rs
+++ b/crates/dispatch/src/suspect.rs
@@ -108,17 +108,17 @@
 
     /// Applies the findings of a scheduler except for the losses, which are also sent to other
     /// instances.
-    pub fn learn(&mut self, findings: &Findings) {
+    pub fn apply_findings(&mut self, findings: &Findings) {
         for task in &findings.done {
-            self.absolve(task);
+            self.remove_task(task);
         }
         for upstream in &findings.back {
-            self.clear(upstream);
+            self.clear_upstream(upstream);
         }
     }
 
     /// Removes the losses of an upstream that was silent and has answered: no task crashed it.
-    pub fn clear(&mut self, upstream: &name::Name) {
+    pub fn clear_upstream(&mut self, upstream: &name::Name) {
         for history in self.tasks.values_mut() {
             history.losses.retain(|(id, _)| id != upstream);
         }
@@ -126,7 +126,7 @@
     }
 
     /// Removes a task that has completed.
-    pub fn absolve(&mut self, task: &job::Task) {
+    pub fn remove_task(&mut self, task: &job::Task) {
         self.tasks.remove(task);
     }
 
--- a/crates/dispatch/src/time.rs
+++ b/crates/dispatch/src/time.rs
@@ -4,4 +4,4 @@
 
 /// Maximum rate by which a monotonic clock may be slower than another, in thousandths: the protocol
 /// of upstreams allows 20.
-pub(crate) const SLOW_CLOCK: u64 = 25;
+pub(crate) const MAX_DRIFT: u64 = 25;
--- a/crates/dispatch/src/timing.rs
+++ b/crates/dispatch/src/timing.rs
@@ -13,7 +13,7 @@
 
 /// When a run was ordered, and when the upstream confirmed that it had begun.
 #[derive(Clone, Copy, Debug)]
-pub struct Begun {
+pub struct RunTiming {
     /// When the scheduler decided the start order, microseconds.
     ordered_at: u64,
     /// When the confirmation arrived, microseconds, and the clock of the upstream then,
@@ -21,15 +21,15 @@
     confirmed: Option<(u64, u64)>,
 }
 
-impl Begun {
+impl RunTiming {
     /// Creates the times of a run whose start order is decided now.
     pub fn new(now: u64) -> Self {
         Self { ordered_at: now, confirmed: None }
     }
 
-    /// Records that the run is in progress at `clock` of the upstream, milliseconds; only the first
-    /// call counts.
-    pub fn hear(&mut self, clock: u64, now: u64) {
+    /// Records the first confirmation that the run is in progress, at `clock` of the upstream,
+    /// milliseconds; later calls have no effect.
+    pub fn confirm(&mut self, clock: u64, now: u64) {
         self.confirmed.get_or_insert((now, clock));
     }
 
--- a/crates/dispatch/src/upkeep.rs
+++ b/crates/dispatch/src/upkeep.rs
@@ -4,7 +4,7 @@
 use state::name;
 
 use crate::{
-    active::Active,
+    active::ActiveJob,
     job::{Refusal, Verdict},
     order::Order,
     peer, queue,
@@ -17,7 +17,7 @@
 /// microseconds: the cancellation was lost, or another scheduler has the job. This is longer than
 /// two query intervals of the entry (300 ms each), and short enough to stop the runs of the job
 /// before a client that lost its entry submits the job again (1,300 ms).
-pub(crate) const ABANDONED: u64 = 900 * time::MS;
+pub(crate) const ABANDON_AFTER: u64 = 900 * time::MS;
 /// Interval at which the scheduler repeats the stop order for an unwanted run, in microseconds.
 const STOP_INTERVAL: u64 = 150 * time::MS;
 /// The scheduler gives up an upstream that has not answered for this long, in microseconds.
@@ -26,14 +26,15 @@
 impl Sched {
     /// Drops jobs for which no entry waits, so that another scheduler may take them.
     pub(crate) fn drop_abandoned(&mut self, alive: &impl Fn(&name::Name) -> Option<u64>, now: u64) {
-        let is_abandoned = |active: &Active| {
+        let is_abandoned = |active: &ActiveJob| {
             // The age of a query counts from when the entry sent it: a query that was delayed on
             // its way does not show that the entry still waits.
             match alive(&active.entry) {
                 Some(clock) => {
-                    clock >= active.stamp + ABANDONED || now >= active.awaited + ABANDONED
+                    clock >= active.entry_clock + ABANDON_AFTER
+                        || now >= active.last_awaited + ABANDON_AFTER
                 }
-                None => now >= active.awaited + peer::SILENT,
+                None => now >= active.last_awaited + peer::SILENCE_TIMEOUT,
             }
         };
         let abandoned = self.jobs.iter().filter(|(_, active)| is_abandoned(active));
@@ -48,11 +49,11 @@
         let mut expired = Vec::new();
         let policy = self.policy;
         let overloaded = policy.refuse_late && queue::is_overloaded(self.load(now));
-        let is_late = |active: &Active| {
+        let is_late = |active: &ActiveJob| {
             overloaded && queue::feasibility(active, now) == queue::Feasibility::Late
         };
         for (id, active) in &self.jobs {
-            if now >= active.end() {
+            if now >= active.client_deadline() {
                 expired.push((id.clone(), active.started));
             } else if !active.started
                 && (policy.refuse_hopeless && queue::is_hopeless(active, now) || is_late(active))
@@ -69,7 +70,7 @@
 
     /// Counts the runs of a silent upstream as ended once its last lease has expired and no
     /// scheduler can have renewed it.
-    pub(crate) fn lapse(&mut self, now: u64) {
+    pub(crate) fn expire_leases(&mut self, now: u64) {
         let mut lapsed = Vec::new();
         for (id, session) in &mut self.sessions {
             if session.silent.is_some() && session.has_lapsed(now) && !session.runs.is_empty() {
@@ -82,7 +83,7 @@
                 self.requeue(&upstream, task);
             }
             if phase == upstream::Phase::Serving {
-                self.lose(suspect::Loss { upstream, proved: false, tasks });
+                self.report_loss(suspect::Loss { upstream, proved: false, tasks });
             }
         }
     }
@@ -120,7 +121,7 @@
                 self.number += 1;
                 let order = Order::Stop { task: task.clone(), attempt };
                 self.sent.insert(self.number, (id.clone(), now, Sent::Stop));
-                self.out.calls.push(session.call(self.number, order, self.call_timeout.patience()));
+                self.out.calls.push(session.call(self.number, order, self.call_timeout.timeout()));
             }
         }
     }
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -166,7 +166,7 @@
     }
 
     /// Marks an upstream as gone; `last` means that this incarnation never returns.
-    pub fn bury(&mut self, id: &name::Name, last: bool) -> Option<Record> {
+    pub fn mark_gone(&mut self, id: &name::Name, last: bool) -> Option<Record> {
         let held = self.records.get_mut(id)?;
         self.digests.remove(&held.zone);
         self.changes += 1;
--- a/crates/dispatch/src/view.rs
+++ b/crates/dispatch/src/view.rs
@@ -22,13 +22,13 @@
 
 impl View<'_> {
     /// Digest of its upstreams that the holder of a claim last reported.
-    pub(crate) fn told(&self, claim: &claim::Claim) -> Option<u64> {
+    pub(crate) fn reported_digest(&self, claim: &claim::Claim) -> Option<u64> {
         if claim.holder == self.membership.me().name {
             return Some(self.upstreams);
         }
-        let heard = self.membership.last_heard(&claim.holder)?;
+        let heard = self.membership.last_heartbeat(&claim.holder)?;
         let zone = &self.membership.peer(&claim.holder)?.card.as_ref()?.zone;
-        heard.set(&claim.zone, zone).filter(|_| heard.life == claim.life)
+        heard.set(&claim.zone, zone).filter(|_| heard.incarnation == claim.incarnation)
     }
 
     /// Time of the last heartbeat from the holder of a claim, in microseconds.
@@ -36,7 +36,7 @@
         if claim.holder == self.membership.me().name {
             return Some(self.now);
         }
-        self.membership.peer(&claim.holder).map(|peer| peer.heard)
+        self.membership.peer(&claim.holder).map(|peer| peer.heartbeat_at)
     }
 
     /// Whether tasks may be started at the upstreams of a zone.
@@ -51,15 +51,15 @@
     }
 
     /// Whether a scheduler that may start tasks is alive.
-    pub(crate) fn is_led(&self) -> bool {
+    pub(crate) fn has_scheduler(&self) -> bool {
         let able = |claim: &claim::Claim| {
-            self.is_open(&claim.zone) && self.membership.holds(claim, self.now)
+            self.is_open(&claim.zone) && self.membership.is_holder_alive(claim, self.now)
         };
         self.claims.iter().any(able)
     }
 
     pub(crate) fn is_current(&self, claim: &claim::Claim) -> bool {
         let same = self.claims.of(&claim.zone).is_some_and(|held| held == claim);
-        same && self.membership.holds(claim, self.now)
+        same && self.membership.is_holder_alive(claim, self.now)
     }
 }
--- a/crates/dispatch/src/watch_list.rs
+++ b/crates/dispatch/src/watch_list.rs
@@ -35,7 +35,7 @@
 /// The first instances of each zone by rank.
 #[derive(Clone, Debug, Default)]
 pub struct WatchList {
-    few: bool,
+    small: bool,
     first: collections::BTreeMap<name::Name, Vec<name::Name>>,
 }
 
@@ -53,12 +53,12 @@
             zone.into_iter().take(MAX_WINDOW).map(|card| card.name.clone()).collect()
         };
         let first = zones.into_iter().map(|(name, zone)| (name, first(zone))).collect();
-        Self { few: count <= SMALL_SYSTEM + 1, first }
+        Self { small: count <= SMALL_SYSTEM + 1, first }
     }
 
     /// Whether every instance watches its zone and all keepers.
-    pub fn is_few(&self) -> bool {
-        self.few
+    pub fn is_small(&self) -> bool {
+        self.small
     }
 
     /// The first `count` instances of a zone by rank.
@@ -73,9 +73,9 @@
     }
 
     /// Whether `a` watches `b`, where `a` watches the first `window` instances of its zone.
-    pub fn hears(&self, a: &member::Card, b: &member::Card, window: usize) -> bool {
+    pub fn watches(&self, a: &member::Card, b: &member::Card, window: usize) -> bool {
         let keeper = b.role == member::Role::Keeper;
-        if self.few {
+        if self.small {
             return a.zone == b.zone || keeper;
         }
         let both = keeper && a.role == member::Role::Keeper;
@@ -84,15 +84,15 @@
 
     /// Whether two instances always exchange heartbeats: one of them watches the other, which
     /// answers its heartbeats.
-    pub fn ought(&self, a: &member::Card, b: &member::Card) -> bool {
+    pub fn linked(&self, a: &member::Card, b: &member::Card) -> bool {
         let window =
             |card: &member::Card| if card.role == member::Role::Keeper { FRONT } else { HUBS };
-        self.hears(a, b, window(a)) || self.hears(b, a, window(b))
+        self.watches(a, b, window(a)) || self.watches(b, a, window(b))
     }
 
     /// Whether an instance receives the upstream records of a zone without scheduling that zone.
-    pub fn is_told(&self, card: &member::Card, zone: &name::Name) -> bool {
-        let first = card.zone == *zone && (self.few || self.is_first(card, FRONT));
+    pub fn receives_records(&self, card: &member::Card, zone: &name::Name) -> bool {
+        let first = card.zone == *zone && (self.small || self.is_first(card, FRONT));
         first || card.role == member::Role::Keeper
     }
 }
--- a/crates/dispatch/src/zone.rs
+++ b/crates/dispatch/src/zone.rs
@@ -15,7 +15,7 @@
     lingering: collections::BTreeSet<name::Name>,
     pub(crate) sched: Option<sched::Sched>,
     /// When upstreams began to refuse this scheduler's fencing token, and when one last refused it.
-    pub(crate) outranked: Option<(u64, u64)>,
+    pub(crate) token_refusals: Option<(u64, u64)>,
 }
 
 impl Zone {
@@ -35,8 +35,8 @@
         }
         let number = self.directory.number(&record.id).unwrap_or(u64::MAX);
         if let Some(sched) = &mut self.sched {
-            sched.record(record);
-            sched.number(&record.id, number);
+            sched.update_upstream(record);
+            sched.set_number(&record.id, number);
         }
     }
 
@@ -47,16 +47,16 @@
         records: impl Iterator<Item = &'a upstream::Record>,
     ) {
         for record in records {
-            sched.record(record);
-            sched.number(&record.id, self.directory.number(&record.id).unwrap_or(u64::MAX));
+            sched.update_upstream(record);
+            sched.set_number(&record.id, self.directory.number(&record.id).unwrap_or(u64::MAX));
         }
         self.sched = Some(sched);
-        self.outranked = None;
+        self.token_refusals = None;
     }
 
     /// Stops scheduling the zone.
     pub(crate) fn resign(&mut self) {
-        self.outranked = None;
+        self.token_refusals = None;
         self.sched = None;
     }
 
--- a/crates/dispatch/src/zones.rs
+++ b/crates/dispatch/src/zones.rs
@@ -48,7 +48,7 @@
 
     /// Number of live keepers that come before this one when a zone without keepers needs a
     /// scheduler: first those of the zones that follow it in the order of names, then the others.
-    pub fn before(&self, zone: &name::Name, now: u64) -> usize {
+    pub fn keepers_before(&self, zone: &name::Name, now: u64) -> usize {
         let order =
             |card: &member::Card| (card.zone <= *zone, card.zone.clone(), card.name.clone());
         let keepers = self.available(now);
@@ -59,7 +59,7 @@
 
     /// Whether this keeper is the first candidate if a zone loses its own keepers.
     pub fn is_next(&self, zone: &name::Name, now: u64) -> bool {
-        self.before(zone, now) == 0
+        self.keepers_before(zone, now) == 0
     }
 
     /// The entries among the first [`watch_list::FRONT`] instances of a zone by rank.
@@ -69,7 +69,7 @@
     }
 
     /// The other instances of a zone that this one knows.
-    pub fn of_zone(&self, zone: &name::Name) -> Vec<name::Name> {
+    pub fn zone_members(&self, zone: &name::Name) -> Vec<name::Name> {
         let of_zone = self
             .peers
             .iter()
@@ -93,6 +93,6 @@
         let pings = heard.filter_map(|name| self.peers.get(name)?.ping.as_ref());
         !self.has_keeper(zone, now)
             && self.reaches(zone, now)
-            && pings.into_iter().all(|ping| ping.weak && !ping.led)
+            && pings.into_iter().all(|ping| ping.low_capacity && !ping.led)
     }
 }
--- a/crates/dispatch/tests/claims.rs
+++ b/crates/dispatch/tests/claims.rs
@@ -18,10 +18,12 @@
 
 /// The same of one that has been running for `age` milliseconds when its zone loses the others.
 fn claimed_from(age: u64, stand: Candidate, told: Option<u64>) -> u64 {
-    let card = |name: &str, role| Card { name: name.into(), zone: "west".into(), role, life: 7 };
+    let card =
+        |name: &str, role| Card { name: name.into(), zone: "west".into(), role, incarnation: 7 };
     let membership = Membership::new(card("10.0.0.2:7", Role::Entry), &[], 0);
     let mut claims = Claims::default();
-    let keeper = Claim { zone: "west".into(), epoch: 9, holder: "10.0.0.1:7".into(), life: 7 };
+    let keeper =
+        Claim { zone: "west".into(), epoch: 9, holder: "10.0.0.1:7".into(), incarnation: 7 };
     for ms in (0..10_000).step_by(20) {
         let now = Now::new((age + ms) * MS, WALL + age + ms);
         if told == Some(ms) {
@@ -34,7 +36,7 @@
     panic!("it never claims");
 }
 
-const STRONG: Candidate = Candidate { schedules: false, equipped: true, weak: false };
+const STRONG: Candidate = Candidate { schedules: false, equipped: true, low_capacity: false };
 
 /// Story: everything came back within 150 ms after a loss of power, and the keepers claimed their zones.
 /// Entries that had not met them yet claimed 40 ms later, as they knew of no upstream and took themselves
@@ -45,7 +47,7 @@
 fn restart_of_everything() {
     let bare = Candidate { equipped: false, ..STRONG };
     assert!((1_000..1_400).contains(&claimed(bare, None)), "without upstreams it lets others go");
-    let weak = Candidate { weak: true, ..STRONG };
+    let weak = Candidate { low_capacity: true, ..STRONG };
     assert!((1_200..1_600).contains(&claimed(weak, Some(200))), "a claim that it heard of stands");
 }
 
@@ -60,7 +62,7 @@
 /// it may know of a configuration and of upstreams by a keeper of another zone before its own is back.
 #[test]
 fn weak_entry() {
-    let weak = Candidate { weak: true, ..STRONG };
+    let weak = Candidate { low_capacity: true, ..STRONG };
     assert!((290..350).contains(&claimed_from(5_000, weak, None)));
     assert!((1_290..1_350).contains(&claimed(weak, None)));
 }
--- a/crates/dispatch/tests/configuration.rs
+++ b/crates/dispatch/tests/configuration.rs
@@ -5,7 +5,7 @@
 use dispatch::{
     event::Reply,
     message::Document,
-    routing::{Fault, Field, Route, Routing},
+    routing::{Field, Route, RouteError, Routing},
 };
 use world::World;
 
@@ -153,9 +153,9 @@
         prefix: prefix.into(),
         service: service.into(),
         priority: 0,
-        attempts: 2,
+        max_attempts: 2,
         stretch: 1.6,
-        goal: 60,
+        latency_goal: 60,
         timeout,
     }
 }
@@ -163,7 +163,7 @@
 #[test]
 fn checks() {
     let check = |routes| Routing::new(1, 100, routes, &["board".into()]).map(|_| ()).unwrap_err();
-    let fault = |at, field, why| Fault { at, field, why };
+    let fault = |at, field, why| RouteError { at, field, why };
     let sound = route("a", "/x/", "board", 10);
     assert_eq!(
         check(vec![sound.clone(), route("a", "/y/", "bord", 10)]),
