--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -132,13 +132,13 @@
     suspects.add(&loss("u1", true, &["a", "b"]), 0);
     assert_eq!(suspects.add(&loss("u2", true, &["a", "b"]), 0), [], "either may be at fault");
     assert_eq!(suspects.add(&loss("u3", true, &["b"]), 0), [task("b")]);
-    suspects.absolve(&task("a"));
+    suspects.remove_task(&task("a"));
     assert!(!suspects.has(&task("a")));
 
     let mut suspects = Suspects::default();
     for upstream in ["u1", "u2", "u3"] {
         suspects.add(&loss(upstream, false, &["a"]), 0);
-        suspects.clear(&upstream.into());
+        suspects.clear_upstream(&upstream.into());
     }
     assert!(!suspects.has(&task("a")), "they were only silent");
 }
@@ -165,7 +165,7 @@
 
     fn calls(&mut self) -> Vec<Call> {
         let findings = self.sched.take_findings();
-        self.suspects.learn(&findings);
+        self.suspects.apply_findings(&findings);
         for loss in &findings.losses {
             let given_up = self.suspects.add(loss, self.now);
             self.sched.give_up(&given_up, self.now);
@@ -183,12 +183,12 @@
             Order::Hold { .. } => Outcome::Held { clock, running, ended: vec![] },
             _ => Outcome::Done(clock),
         };
-        self.sched.called(call.number, call.fence, outcome, self.now);
+        self.sched.process_outcome(call.number, call.fence, outcome, self.now);
     }
 
     /// Hands a job of one task in; gives the start of it.
     fn submit(&mut self, id: &str) -> Call {
-        let job = Job { stamp: self.now, ..sample::job(id, 1) };
+        let job = Job { entry_clock: self.now, ..sample::job(id, 1) };
         self.sched.submit(job, &"e".into(), self.now);
         let start = self.starts().into_iter().find(|(job, _)| job.as_str() == id);
         start.unwrap().1
@@ -217,7 +217,12 @@
     assert_eq!(first.upstream, second.upstream, "as tight as it goes");
     let other = play.submit("c");
     assert_ne!(first.upstream, other.upstream);
-    play.sched.called(play.holds[&first.upstream].number, first.fence, Outcome::Replaced, play.now);
+    play.sched.process_outcome(
+        play.holds[&first.upstream].number,
+        first.fence,
+        Outcome::Replaced,
+        play.now,
+    );
     let again = play.starts();
     let places: BTreeSet<_> = again.iter().map(|(_, c)| &c.upstream).collect();
     assert_eq!(again.len(), 2);
--- a/crates/dispatch/tests/doubled.rs
+++ b/crates/dispatch/tests/doubled.rs
@@ -188,7 +188,8 @@
 #[test]
 fn stops_refused() {
     // A scheduler has dropped a job and one upstream refuses to stop its task; the lease is renewed all
-    // the same, so the task runs on beyond FORMER, after which the entry hands the job to its own zone.
+    // the same, so the task runs on beyond `FORMER_RUN_TIMEOUT`, after which the entry hands the job
+    // to its own zone.
     let mut faults = Vec::new();
     for seed in 0..10 {
         let mut world = World::new(seed, 2, 2, 4);
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -202,9 +202,9 @@
     // A copy of an order that arrives after the zone was taken back has no effect.
     let mut held = Evacuations::default();
     let order = |evacuated, base| Order { zone: zone_name(1), evacuated, base };
-    assert_eq!(held.apply(&order(true, 0)), Outcome::Held);
-    assert_eq!(held.apply(&order(true, 0)), Outcome::Held, "a second copy");
-    assert_eq!(held.apply(&order(false, 1)), Outcome::Held);
+    assert_eq!(held.apply(&order(true, 0)), Outcome::InForce);
+    assert_eq!(held.apply(&order(true, 0)), Outcome::InForce, "a second copy");
+    assert_eq!(held.apply(&order(false, 1)), Outcome::InForce);
     assert_eq!(held.apply(&order(true, 0)), Outcome::Stale);
     assert!(!held.has(&zone_name(1)));
     assert_eq!(held.revision, 2);
--- a/crates/dispatch/tests/membership.rs
+++ b/crates/dispatch/tests/membership.rs
@@ -12,7 +12,12 @@
 
 fn card(at: usize) -> Card {
     let role = if at == 0 { Role::Keeper } else { Role::Entry };
-    Card { name: Name::new(&format!("10.0.0.{}:7", 100 + at)), zone: "west".into(), role, life: 7 }
+    Card {
+        name: Name::new(&format!("10.0.0.{}:7", 100 + at)),
+        zone: "west".into(),
+        role,
+        incarnation: 7,
+    }
 }
 
 /// Those that an instance need not hear any more are not gone.
@@ -24,8 +29,8 @@
 #[test]
 fn not_heard_any_more() {
     let mut membership = Membership::new(card(30), &[], 0);
-    membership.learn((1..8).map(card).collect(), Vec::new(), 100 * MS);
-    membership.learn((0..30).map(card).collect(), Vec::new(), 200 * MS);
+    membership.merge_members((1..8).map(card).collect(), Vec::new(), 100 * MS);
+    membership.merge_members((0..30).map(card).collect(), Vec::new(), 200 * MS);
     let forgotten = membership.forget(LONG * MS);
     let heard = [0, 1].map(|at| card(at).name);
     assert!(forgotten.iter().all(|name| heard.contains(name)), "{forgotten:?}");
@@ -36,10 +41,10 @@
 #[test]
 fn heard_again() {
     let mut membership = Membership::new(card(30), &[], 0);
-    membership.learn((0..30).map(card).collect(), Vec::new(), 100 * MS);
+    membership.merge_members((0..30).map(card).collect(), Vec::new(), 100 * MS);
     // The first two of the zone are gone: the next ones are heard instead.
     let gone = vec![(card(1).name, 7), (card(0).name, 7)];
-    membership.learn(Vec::new(), gone, LONG * MS);
+    membership.merge_members(Vec::new(), gone, LONG * MS);
     let forgotten = membership.forget((LONG + 1) * MS);
     assert!(!forgotten.contains(&card(3).name), "{forgotten:?}");
 }
--- a/crates/dispatch/tests/news.rs
+++ b/crates/dispatch/tests/news.rs
@@ -13,8 +13,8 @@
 
 use dispatch::upstream::Phase;
 use dispatch::{
-    fetch::{self, Fetch, Taken},
-    message::{Ask, Document, Part},
+    fetch::{self, Fetch, Progress},
+    message::{Document, Part, PartRequest},
     time::Now,
 };
 use state::name::Name;
@@ -149,9 +149,9 @@
             continue;
         }
         match fetch.take(&source, &fetch::part(document, ask).unwrap(), now) {
-            Taken::More(ask) => next = Some((source, ask)),
-            Taken::Whole(whole) => return (whole, asked),
-            Taken::Unneeded => panic!("a part that was asked for"),
+            Progress::More(ask) => next = Some((source, ask)),
+            Progress::Complete(whole) => return (whole, asked),
+            Progress::Ignored => panic!("a part that was asked for"),
         }
     }
     panic!("never whole: {asked:?}");
@@ -179,21 +179,23 @@
     let one: Name = "one".into();
     let mut fetch = Fetch::default();
     let (_, ask) = fetch.begin(2, &[&one], 0).unwrap();
-    let Taken::More(ask) = fetch.take(&one, &fetch::part(&held, ask).unwrap(), 0) else {
+    let Progress::More(ask) = fetch.take(&one, &fetch::part(&held, ask).unwrap(), 0) else {
         panic!("more than a part");
     };
     let first = fetch::part(&newer, ask).unwrap();
     assert_eq!((first.version, first.offset), (5, 0));
-    let Taken::More(ask) = fetch.take(&one, &first, 0) else { panic!("more than a part") };
-    assert_eq!(ask, Ask { version: 5, offset: 65_536 });
+    let Progress::More(ask) = fetch.take(&one, &first, 0) else { panic!("more than a part") };
+    assert_eq!(ask, PartRequest { version: 5, offset: 65_536 });
     assert_eq!(fetch::part(&held, ask), None, "it has nothing as new");
     // A late part of the older one, and one that came twice, change nothing.
-    let late =
-        Part { offset: 65_536, ..fetch::part(&held, Ask { version: 2, offset: 0 }).unwrap() };
-    assert_eq!(fetch.take(&one, &late, 0), Taken::Unneeded);
-    assert_eq!(fetch.take(&one, &first, 0), Taken::Unneeded);
+    let late = Part {
+        offset: 65_536,
+        ..fetch::part(&held, PartRequest { version: 2, offset: 0 }).unwrap()
+    };
+    assert_eq!(fetch.take(&one, &late, 0), Progress::Ignored);
+    assert_eq!(fetch.take(&one, &first, 0), Progress::Ignored);
     let last = fetch::part(&newer, ask).unwrap();
-    assert_eq!(fetch.take(&one, &last, 0), Taken::Whole(newer));
+    assert_eq!(fetch.take(&one, &last, 0), Progress::Complete(newer));
 }
 
 #[test]
@@ -214,7 +216,7 @@
     }
     for _ in 0..3 {
         now += 20 * MS;
-        let Taken::More(next) = fetch.take(&source, &fetch::part(&document, ask).unwrap(), now)
+        let Progress::More(next) = fetch.take(&source, &fetch::part(&document, ask).unwrap(), now)
         else {
             panic!("more than a part")
         };
--- a/crates/dispatch/tests/owner.rs
+++ b/crates/dispatch/tests/owner.rs
@@ -4,7 +4,7 @@
 
 use dispatch::{
     job::{Job, Task, Verdict},
-    message::Ruling,
+    message::Decision,
     order::{Call, End, Ended, Order, Outcome, Reason, Running},
     sched::Sched,
     share::Share,
@@ -17,7 +17,7 @@
 struct Play {
     sched: Sched,
     now: u64,
-    verdicts: Vec<(Name, Name, Ruling)>,
+    verdicts: Vec<(Name, Name, Decision)>,
 }
 
 fn task(job: &str, index: u32) -> Task {
@@ -48,7 +48,7 @@
 
     fn calls(&mut self) -> Vec<Call> {
         let awaited = ["j", "first"].map(sample::awaited);
-        self.sched.awaited(&awaited, &"entry".into(), self.now, self.now);
+        self.sched.renew_awaited(&awaited, &"entry".into(), self.now, self.now);
         self.sched.tick(|_| Some(self.now), self.now);
         self.sched.run(|_| Some(self.now), &Suspects::default(), self.now);
         let out = self.sched.take();
@@ -57,7 +57,7 @@
     }
 
     fn answer(&mut self, call: &Call, outcome: Outcome) {
-        self.sched.called(call.number, call.fence, outcome, self.now);
+        self.sched.process_outcome(call.number, call.fence, outcome, self.now);
     }
 
     fn wait(&mut self, ms: u64) {
@@ -157,7 +157,7 @@
     play.sched.submit(job("j", 1), &"entry".into(), play.now);
     let calls = play.calls();
     assert_eq!(starts(&calls), [("new".into(), task("j", 0))]);
-    play.sched.record(&record("old"));
+    play.sched.update_upstream(&record("old"));
     let calls = play.calls();
     let hold = calls.iter().find(|call| call.upstream.as_str() == "old").unwrap();
     play.answer(hold, Outcome::Replaced);
@@ -198,7 +198,7 @@
     let start = calls.iter().find(|call| matches!(call.order, Order::Start { .. })).unwrap();
     let hold = calls.iter().find(|call| is_hold(call)).unwrap();
     play.answer(start, Outcome::Done(CLOCK + play.now / MS));
-    play.sched.record(&record("u2"));
+    play.sched.update_upstream(&record("u2"));
     let take = play.calls();
     play.answer(&take[0], held(vec![], vec![], play.now));
     play.wait(300);
@@ -234,8 +234,8 @@
     play.answer(hold, held(vec![], vec![ended(1, "j", 0, End::Failed)], play.now));
     let verdicts = play.sched.take().verdicts;
     let (number, share) = (0, Share::ALL);
-    let ruling = Ruling { number, share, verdict: Verdict::Failed };
-    assert_eq!(verdicts, [("entry".into(), "j".into(), ruling)]);
+    let decision = Decision { number, share, verdict: Verdict::Failed };
+    assert_eq!(verdicts, [("entry".into(), "j".into(), decision)]);
 }
 
 #[test]
--- a/crates/dispatch/tests/room.rs
+++ b/crates/dispatch/tests/room.rs
@@ -133,11 +133,11 @@
         self.sched.run(|_| Some(self.now), &Suspects::default(), self.now);
         let out = self.sched.take();
         self.calls.extend(out.calls);
-        self.verdicts.extend(out.verdicts.into_iter().map(|(_, _, ruling)| ruling.verdict));
+        self.verdicts.extend(out.verdicts.into_iter().map(|(_, _, decision)| decision.verdict));
     }
 
     fn answer(&mut self, call: &Call, outcome: Outcome) {
-        self.sched.called(call.number, call.fence, outcome, self.now);
+        self.sched.process_outcome(call.number, call.fence, outcome, self.now);
         self.wait(0);
     }
 
@@ -166,13 +166,17 @@
 
     fn submit(&mut self, id: &str) {
         let job = sample::job(id, 1);
-        self.sched.submit(dispatch::job::Job { stamp: self.now, ..job }, &"e".into(), self.now);
+        self.sched.submit(
+            dispatch::job::Job { entry_clock: self.now, ..job },
+            &"e".into(),
+            self.now,
+        );
         self.wait(0);
     }
 
     /// Its entry goes on waiting.
     fn await_job(&mut self, id: &str) {
-        self.sched.awaited(&[sample::awaited(id)], &"e".into(), self.now, self.now);
+        self.sched.renew_awaited(&[sample::awaited(id)], &"e".into(), self.now, self.now);
     }
 }
 
@@ -216,7 +220,7 @@
     }
     play.refuse_starts();
     let room = Room { cpu: 48_000, memory: 64_000, accelerators: 0 };
-    play.sched.record(&Record { room, serial: 2, ..record("u1") });
+    play.sched.update_upstream(&Record { room, serial: 2, ..record("u1") });
     play.wait(0);
     let starts = play.calls.iter().filter(|call| matches!(call.order, Order::Start { .. }));
     assert_eq!(starts.count(), 1);
@@ -228,10 +232,10 @@
     // too large for ever.
     let mut play = Play::new(&["u1"]);
     let room = Room { cpu: 8_000, memory: 64_000, accelerators: 0 };
-    play.sched.record(&Record { room, serial: 2, ..record("u1") });
+    play.sched.update_upstream(&Record { room, serial: 2, ..record("u1") });
     play.submit("j");
     assert_eq!(play.verdicts, []);
-    play.sched.record(&Record { serial: 3, ..record("u1") });
+    play.sched.update_upstream(&Record { serial: 3, ..record("u1") });
     play.wait(20);
     let starts = play.calls.iter().filter(|call| matches!(call.order, Order::Start { .. }));
     assert_eq!(starts.count(), 1);
--- a/crates/dispatch/tests/sample/mod.rs
+++ b/crates/dispatch/tests/sample/mod.rs
@@ -31,7 +31,7 @@
 pub fn scheduler(upstreams: &[&str], now: u64) -> Sched {
     let mut sched = Sched::new(1_000, 950, now);
     for id in upstreams {
-        sched.record(&record(id));
+        sched.update_upstream(&record(id));
     }
     sched
 }
@@ -50,7 +50,7 @@
         patience: 3_000,
         age: 0,
         resumed: false,
-        stamp: 0,
+        entry_clock: 0,
     }
 }
 
--- a/crates/dispatch/tests/stopped.rs
+++ b/crates/dispatch/tests/stopped.rs
@@ -53,7 +53,7 @@
 
     fn answer(&mut self, call: &Call, running: Vec<Running>, ended: Vec<Ended>) {
         let outcome = Outcome::Held { clock: CLOCK + self.now / MS, running, ended };
-        self.sched.called(call.number, call.fence, outcome, self.now);
+        self.sched.process_outcome(call.number, call.fence, outcome, self.now);
     }
 
     fn wait(&mut self, ms: u64) {
@@ -102,7 +102,7 @@
     play.answer(at(&holds, "u2"), running(2, 10), vec![]);
     play.calls();
     play.wait(50);
-    play.sched.record(&Record { phase: Phase::Gone, serial: u64::MAX, ..record("u2") });
+    play.sched.update_upstream(&Record { phase: Phase::Gone, serial: u64::MAX, ..record("u2") });
     play.wait(160);
     assert_eq!(stops(&play.calls()), ["u1".into()]);
 }
@@ -115,7 +115,7 @@
     play.answer(at(&holds, "u2"), running(2, 10), vec![]);
     play.calls();
     play.wait(50);
-    play.sched.submit(Job { stamp: play.now, ..job("j") }, &"entry".into(), play.now);
+    play.sched.submit(Job { entry_clock: play.now, ..job("j") }, &"entry".into(), play.now);
     assert_eq!(stops(&play.calls()).len(), 1, "one of two runs of a task is stopped");
 }
 
@@ -124,13 +124,13 @@
     // A start without an answer, whose job is cancelled, is carried out late.
     let (mut play, holds) = Play::new(&["u1"]);
     play.answer(&holds[0], vec![], vec![]);
-    let fresh = Job { resumed: false, stamp: play.now, ..job("j") };
+    let fresh = Job { resumed: false, entry_clock: play.now, ..job("j") };
     play.sched.submit(fresh, &"entry".into(), play.now);
     let calls = play.calls();
     let start = calls.iter().find(|call| matches!(call.order, Order::Start { .. })).unwrap();
     let lost = Outcome::Lost;
     play.wait(50);
-    play.sched.called(start.number, start.fence, lost, play.now);
+    play.sched.process_outcome(start.number, start.fence, lost, play.now);
     play.sched.cancel(&"j".into(), &"entry".into());
     let calls = play.calls();
     let hold = calls.iter().find(|call| matches!(call.order, Order::Hold { .. })).unwrap();
@@ -159,7 +159,7 @@
     // The stop has no answer, and the run goes on: it is told again.
     let stop = calls.iter().find(|call| matches!(call.order, Order::Stop { .. })).unwrap();
     play.wait(50);
-    play.sched.called(stop.number, stop.fence, Outcome::Lost, play.now);
+    play.sched.process_outcome(stop.number, stop.fence, Outcome::Lost, play.now);
     let calls = play.calls();
     play.wait(2);
     play.answer(&calls[0], running(1, 60), vec![]);
--- a/crates/dispatch/tests/timing.rs
+++ b/crates/dispatch/tests/timing.rs
@@ -4,7 +4,7 @@
 
 use dispatch::{
     time::MS,
-    timing::{Begun, Breakdown},
+    timing::{Breakdown, RunTiming},
 };
 use world::World;
 
@@ -13,9 +13,9 @@
 
 #[test]
 fn by_the_clocks_of_both() {
-    let mut begun = Begun::new(1_000 * MS);
-    begun.hear(90_000, 1_004 * MS);
-    begun.hear(90_050, 1_054 * MS);
+    let mut begun = RunTiming::new(1_000 * MS);
+    begun.confirm(90_000, 1_004 * MS);
+    begun.confirm(90_050, 1_054 * MS);
     assert_eq!(begun.end(90_200, 1_210 * MS), PARTS, "the first time counts");
     let whole = PARTS.after(2 * MS, 252 * MS);
     assert_eq!(whole, Breakdown { handed: 2 * MS, waited: 40 * MS, ..PARTS });
@@ -28,11 +28,11 @@
 #[test]
 fn odd_clocks() {
     // Never heard to go on: its order was lost, or the answer to it.
-    let lost = Begun::new(0).end(90_000, 70 * MS);
+    let lost = RunTiming::new(0).end(90_000, 70 * MS);
     assert_eq!(lost, Breakdown { order: 70 * MS, ..Breakdown::default() });
     // A clock of milliseconds that runs ahead, or goes back, makes no more time than there was.
-    let mut begun = Begun::new(0);
-    begun.hear(90_000, 3 * MS);
+    let mut begun = RunTiming::new(0);
+    begun.confirm(90_000, 3 * MS);
     let ahead = begun.end(90_900, 100 * MS);
     assert_eq!((ahead.order, ahead.work, ahead.told), (0, 100 * MS, 0));
     let back = begun.end(80_000, 100 * MS);
--- a/crates/dispatch/tests/world/client.rs
+++ b/crates/dispatch/tests/world/client.rs
@@ -46,7 +46,7 @@
             patience: 4_000,
             age: 0,
             resumed: false,
-            stamp: 0,
+            entry_clock: 0,
         };
         let zone = zone_name(zone);
         let request =
@@ -118,7 +118,7 @@
         for ticket in tickets {
             self.tickets.remove(&ticket);
             if let Some(at) = self.requests.get(id).and_then(|request| request.at) {
-                self.handle(at, Event::Left(ticket));
+                self.handle(at, Event::Disconnected(ticket));
             }
         }
         self.requests.remove(id);
--- a/crates/dispatch/tests/world/effect.rs
+++ b/crates/dispatch/tests/world/effect.rs
@@ -55,7 +55,7 @@
                 *self.calls.entry(at).or_default() += 1;
                 let (number, fence) = (call.number, call.fence);
                 self.note_start(&call);
-                let patience = call.patience * MS;
+                let patience = call.timeout * MS;
                 let late = matches!(call.order, Order::Start { .. })
                     && self.late > 0
                     && self.rng.random_range(0..self.late) == 0;
@@ -85,7 +85,7 @@
                     }
                 }
             }
-            Output::Remember(known) => self.instances[at].known = known,
+            Output::SaveKnown(known) => self.instances[at].known = known,
             Output::Note(note) => *self.notes.entry(note.text).or_default() += 1,
             Output::Measure(Measure::Breakdown(parts)) => self.splits.push(parts),
             Output::Reply(ticket, Reply::Verdict(verdict)) => self.verdict(ticket, verdict),
--- a/crates/dispatch/tests/world/fault.rs
+++ b/crates/dispatch/tests/world/fault.rs
@@ -20,10 +20,10 @@
         instance.life += 1;
         instance.frozen = false;
         instance.held.clear();
-        instance.card.life = life;
+        instance.card.incarnation = life;
         let first = std::mem::replace(&mut instance.first, false);
         let disk = instance.disk.as_ref().map(|(mirror, life)| core::Disk {
-            life: *life,
+            incarnation: *life,
             recovered: mirror.recovered(),
             first,
             known: instance.known.clone(),
--- a/crates/dispatch/tests/world/mod.rs
+++ b/crates/dispatch/tests/world/mod.rs
@@ -267,7 +267,7 @@
             for at in 0..keepers + entries {
                 let role = if at < keepers { Role::Keeper } else { Role::Entry };
                 let name = Name::new(&format!("10.{zone}.0.{}:7", at + 1));
-                let card = Card { name, zone: zone_name(zone), role, life: 0 };
+                let card = Card { name, zone: zone_name(zone), role, incarnation: 0 };
                 let disk = (role == Role::Keeper).then(|| (Mirror::default(), 1));
                 let first = true;
                 let instance = Instance {
