--- a/crates/apricotroute/src/cli.rs
+++ b/crates/apricotroute/src/cli.rs
@@ -93,7 +93,7 @@
     let file = positional(&mut arguments, "FILE")?;
     options::finish(arguments)?;
     let parse = |text: &str| {
-        if node_file::Node::is_meant(text) {
+        if node_file::Node::has_role(text) {
             node_file::Node::parse(text).map(drop)
         } else {
             boot::Boot::parse(text).map(drop)
@@ -184,7 +184,7 @@
         if let Some(job) = job {
             map.insert("job".to_owned(), job.into());
         } else if !map.contains_key("job") {
-            let job = id::JobId::mint(&name::Name::new(&zone)).to_string();
+            let job = id::JobId::generate(&name::Name::new(&zone)).to_string();
             map.insert("job".to_owned(), job.into());
         }
     }
--- a/crates/apricotroute/src/client.rs
+++ b/crates/apricotroute/src/client.rs
@@ -207,7 +207,7 @@
             let text = request.header("Request-Id").unwrap_or_default();
             text.parse().map_err(|e: state::Error| bad("read Request-Id", &e.to_string()))?
         } else {
-            id::JobId::mint(&self.zone)
+            id::JobId::generate(&self.zone)
         };
         let content = request.header("Content-Type").unwrap_or("application/octet-stream");
         Ok(message::Spec {
@@ -285,7 +285,7 @@
                 let body = proto::json::Lease { lease_ms: *lease_ms };
                 Response::json(200, serde_json::to_vec(&body).unwrap_or_default())
             }
-            Reply::Withdrawn | Reply::Changed(_) | Reply::Untold(_) => Response::json(200, "{}"),
+            Reply::Withdrawn | Reply::Changed(_) | Reply::Unknown(_) => Response::json(200, "{}"),
         };
         self.api.spans.record(span::Span {
             context: self.context,
--- a/crates/apricotroute/src/control.rs
+++ b/crates/apricotroute/src/control.rs
@@ -304,7 +304,7 @@
                 }
             }
             Output::Settings => self.control.view.set_tree(self.core.tree()),
-            Output::Over(service, over) => {
+            Output::ExcessLatency(service, over) => {
                 metric::note_over(service.as_str(), over as f64 / 1_000.0);
             }
             Output::Drained => self.control.view.drained.store(true, atomic::Ordering::Relaxed),
--- a/crates/apricotroute/src/demo.rs
+++ b/crates/apricotroute/src/demo.rs
@@ -105,7 +105,7 @@
     const TRIES: usize = 50;
     const PAUSE: time::Duration = time::Duration::from_millis(50);
     let tasks: Vec<_> = (0..TASKS).map(|number| json!({"payload": {"page": number}})).collect();
-    let job = id::JobId::mint(zone).to_string();
+    let job = id::JobId::generate(zone).to_string();
     let body = json!({"job": job, "service": SERVICE, "deadline_ms": 5_000, "tasks": tasks});
     let mut answer = client.post("/v1/jobs", body.to_string().as_bytes())?;
     for _ in 0..TRIES {
--- a/crates/apricotroute/src/instance.rs
+++ b/crates/apricotroute/src/instance.rs
@@ -173,6 +173,6 @@
     });
     let all: collections::BTreeSet<_> = peers.chain([me.clone()]).collect();
     let disk = store.map(|store| store.incarnation);
-    let (all, trial, seed) = (all.into_iter().collect(), boot.trial, rand::random());
-    coord::config::Config { me, life: incarnation, disk, all, trial, seed }
+    let (all, baselines, seed) = (all.into_iter().collect(), boot.baselines, rand::random());
+    coord::config::Config { me, incarnation, disk, all, baselines, seed }
 }
--- a/crates/apricotroute/src/load.rs
+++ b/crates/apricotroute/src/load.rs
@@ -223,7 +223,7 @@
     const TRIES: usize = 100;
     let planned = start + arrival.at;
     let until = planned + time::Duration::from_millis(options.deadline);
-    let job = id::JobId::mint(&name::Name::new(&options.zone)).to_string();
+    let job = id::JobId::generate(&name::Name::new(&options.zone)).to_string();
     let body = body(options, arrival, &job);
     if arrival.cancelled {
         cancel_later(options, remote, &job);
--- a/crates/apricotroute/src/node/mod.rs
+++ b/crates/apricotroute/src/node/mod.rs
@@ -175,7 +175,7 @@
     });
     let lease = node.lease_ms * LEASE_PERCENT / 100;
     let (seed, cores, policy, zones) =
-        (rand::random(), node.cores, node.policy, node.zones.clone());
+        (rand::random(), node.millicores, node.policy, node.zones.clone());
     let config = core::Config { me, seeds, lease, seed, cores, policy, zones, disk };
     Ok(control::Parts { config, store, traffic, log: log.clone() })
 }
--- a/crates/apricotroute/src/operator.rs
+++ b/crates/apricotroute/src/operator.rs
@@ -70,7 +70,7 @@
 
     fn get_settings(&self, path: &str) -> Response {
         let path = path.trim_matches('/');
-        if let Some(why) = tree::path_fault(path) {
+        if let Some(why) = tree::path_error(path) {
             return self.bad(400, "read path", why);
         }
         let tree = self.control.view().tree();
@@ -120,7 +120,7 @@
             responder.send(change_response(&reply, peer.as_str()));
         });
         if let Err(respond) = self.control.ask(|ticket| Event::Change(ticket, change), respond) {
-            respond(Reply::Untold("the instance has too much to do".to_owned()));
+            respond(Reply::Unknown("the instance has too much to do".to_owned()));
         }
     }
 
@@ -128,7 +128,7 @@
         const MAX_BYTES: usize = 64 << 10;
         let bad = |status, step: &str, why: &str| Box::new(self.bad(status, step, why));
         let path = path.trim_matches('/');
-        if let Some(why) = tree::path_fault(path) {
+        if let Some(why) = tree::path_error(path) {
             return Err(bad(400, "read path", why));
         }
         if request.body.len() > MAX_BYTES {
@@ -141,7 +141,7 @@
             Some(text) => uuid::Uuid::try_parse(text)
                 .map_err(|e| bad(400, "read change", &format!("change: {e}")))?,
         };
-        let faults = tree::value_faults(&body.values);
+        let faults = tree::value_errors(&body.values);
         if !faults.is_empty() {
             return Err(Box::new(self.invalid_values(&faults)));
         }
@@ -180,7 +180,7 @@
             });
             Response::json(409, body.to_string())
         }
-        Reply::Untold(why) => {
+        Reply::Unknown(why) => {
             let (state, step) = (reply::UNKNOWN, "change settings");
             reply::Fail { status: 503, state, error: why, step, peer, retry_ms: 0 }.response()
         }
--- a/crates/apricotroute/src/store.rs
+++ b/crates/apricotroute/src/store.rs
@@ -46,7 +46,7 @@
             folder::Folder::open(path, instance, incarnation).change_context_lazy(context)?;
         let mirror = Mirror::load(loaded.snapshot.as_deref(), &loaded.records);
         let mirror = mirror.ok_or_else(|| error_stack::Report::new(context()))?;
-        let mut hints_fault = loaded.fault.map(|fault| fault.to_string());
+        let mut hints_fault = loaded.hints_error.map(|error| error.to_string());
         let mut known = Known::default();
         if let Some(hints) = &loaded.hints {
             match postcard::from_bytes(hints) {
@@ -57,8 +57,8 @@
         Ok(Self {
             folder,
             mirror,
-            incarnation: loaded.life,
-            truncated: loaded.torn,
+            incarnation: loaded.incarnation,
+            truncated: loaded.truncated_bytes,
             known,
             hints_fault,
         })
--- a/crates/coord/src/cache.rs
+++ b/crates/coord/src/cache.rs
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Evicts, oldest entry first, the answers of jobs whose ids were minted before `before`,
+    /// Evicts, oldest entry first, the answers of jobs whose ids were created before `before`,
     /// milliseconds since the Unix epoch; stops at the first id that is newer.
     pub fn prune(&mut self, before: u64) {
-        while self.order.front().is_some_and(|job| job.minted() < before) {
+        while self.order.front().is_some_and(|job| job.created_ms() < before) {
             if let Some(oldest) = self.order.pop_front() {
                 self.forget(&oldest);
             }
--- a/crates/coord/src/change.rs
+++ b/crates/coord/src/change.rs
@@ -40,12 +40,12 @@
             let pending = self.changes.remove(&id);
             for ticket in pending.into_iter().flat_map(|pending| pending.tickets) {
                 let why = "no quorum of the settings group can be reached".to_owned();
-                self.out.push(Output::Reply(ticket, Reply::Untold(why)));
+                self.out.push(Output::Reply(ticket, Reply::Unknown(why)));
             }
         }
     }
 
-    pub(crate) fn tell_change(&mut self, change: uuid::Uuid, outcome: tree::Outcome) {
+    pub(crate) fn reply_change(&mut self, change: uuid::Uuid, outcome: tree::Outcome) {
         let pending = self.changes.remove(&change);
         for ticket in pending.into_iter().flat_map(|pending| pending.tickets) {
             self.out.push(Output::Reply(ticket, Reply::Changed(outcome)));
--- a/crates/coord/src/config.rs
+++ b/crates/coord/src/config.rs
@@ -10,13 +10,13 @@
     /// This instance.
     pub me: Instance,
     /// Incarnation of the process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Incarnation of the data folder, if there is one.
     pub disk: Option<u64>,
     /// All instances, this one included.
     pub all: Vec<Instance>,
-    /// Decisions that a trial replaces by their baselines.
-    pub trial: boot::Trial,
+    /// Algorithms that a benchmark replaces by baselines.
+    pub baselines: boot::Baselines,
     /// Seed of the random number generators.
     pub seed: u64,
 }
--- a/crates/coord/src/copies.rs
+++ b/crates/coord/src/copies.rs
@@ -55,7 +55,7 @@
         let mut peers = self.neighbours();
         let count = peers.len();
         if count > 0 {
-            peers.rotate_left(id::short(&id.to_string()) as usize % count);
+            peers.rotate_left(id::name_hash(&id.to_string()) as usize % count);
         }
         peers
     }
--- a/crates/coord/src/core.rs
+++ b/crates/coord/src/core.rs
@@ -20,13 +20,13 @@
 
 /// Time without a message after which the journal leader expels an instance of its zone,
 /// microseconds. It must exceed the lease by more than the transit time of a message.
-pub const EXPEL: u64 = 1_500 * time::MS;
+pub const EXPEL_TIMEOUT: u64 = 1_500 * time::MS;
 /// Interval between two [`Event::Tick`] events, microseconds.
 pub const TICK: u64 = 20 * time::MS;
 /// Interval between two batches of upstream lease renewals, microseconds.
-pub(crate) const RENEWALS: u64 = 250 * time::MS;
+pub(crate) const RENEWAL_INTERVAL: u64 = 250 * time::MS;
 /// Time without a journal lease after which an instance gives up a running job, microseconds.
-pub(crate) const LOST_CONTACT: u64 = 5_000 * time::MS;
+pub(crate) const CONTACT_TIMEOUT: u64 = 5_000 * time::MS;
 /// Time that a starting instance waits for the settings group before it asks the other instances
 /// of its zone for the settings, microseconds.
 const SETTINGS_WAIT: u64 = 3_000 * time::MS;
@@ -47,11 +47,11 @@
     pub(crate) queue: queue::Queue,
     pub(crate) times: crate::health::Times,
     pub(crate) budget: retry::Budget,
-    pub(crate) asked: u64,
-    pub(crate) asking: Option<name::Name>,
-    pub(crate) turn: usize,
-    pub(crate) dry: u64,
-    pub(crate) pause: u64,
+    pub(crate) requested_at: u64,
+    pub(crate) lender: Option<name::Name>,
+    pub(crate) next_peer: usize,
+    pub(crate) backoff_until: u64,
+    pub(crate) backoff: u64,
 }
 
 /// The state machine of one instance.
@@ -61,16 +61,16 @@
     pub(crate) config: Config,
     pub(crate) settings: group::Group<machine::Settings>,
     pub(crate) journal: group::Group<machine::Journal>,
-    pub(crate) witness: collections::BTreeMap<name::Name, group::Group<machine::Journal>>,
+    pub(crate) witness_journals: collections::BTreeMap<name::Name, group::Group<machine::Journal>>,
     pub(crate) jobs: collections::HashMap<id::JobId, Job>,
-    pub(crate) due: collections::BTreeSet<(u64, id::JobId)>,
+    pub(crate) deadlines: collections::BTreeSet<(u64, id::JobId)>,
     pub(crate) services: collections::BTreeMap<name::Name, Service>,
-    pub(crate) dirty: collections::BTreeSet<name::Name>,
+    pub(crate) dispatch_pending: collections::BTreeSet<name::Name>,
     pub(crate) fleet: fleet::Fleet,
     pub(crate) answers: cache::Answers,
     pub(crate) usage: collections::BTreeMap<name::Name, table::Usage>,
     pub(crate) calls: calls::Calls,
-    pub(crate) heard: collections::HashMap<name::Name, u64>,
+    pub(crate) last_heard: collections::HashMap<name::Name, u64>,
     pub(crate) rng: rngs::SmallRng,
     pub(crate) attempts: u64,
     pub(crate) counts: Counts,
@@ -80,14 +80,14 @@
     pub(crate) renewals: collections::BTreeMap<u32, u64>,
     pub(crate) renew_at: u64,
     pub(crate) prune_at: u64,
-    pub(crate) duty_at: u64,
+    pub(crate) next_membership: u64,
     pub(crate) fetch_at: u64,
     pub(crate) return_at: u64,
-    pub(crate) abroad_at: u64,
+    pub(crate) remote_ping_at: u64,
     pub(crate) table_requested: bool,
     pub(crate) leaving: collections::BTreeSet<name::Member>,
     pub(crate) members: collections::BTreeSet<name::Member>,
-    pub(crate) left: Option<u64>,
+    pub(crate) left_at: Option<u64>,
     pub(crate) drained: bool,
     /// Whether [`Output::Drained`] was sent.
     pub(crate) drain_reported: bool,
@@ -100,24 +100,24 @@
     pub fn new(config: Config, recovered: group::Recovered, now: Now) -> Self {
         let settings = groups::settings(&config).with_recovered(recovered, now.mono);
         let journal = groups::journal(&config, &config.me.zone);
-        let witness = groups::witnessed(&config);
-        let witness = witness.into_iter().map(|zone| {
+        let witnessed = groups::witnessed(&config);
+        let witness_journals = witnessed.into_iter().map(|zone| {
             let group = groups::journal(&config, &zone);
             (zone, group)
         });
         Self {
             settings,
             journal,
-            witness: witness.collect(),
+            witness_journals: witness_journals.collect(),
             jobs: collections::HashMap::new(),
-            due: collections::BTreeSet::new(),
+            deadlines: collections::BTreeSet::new(),
             services: collections::BTreeMap::new(),
-            dirty: collections::BTreeSet::new(),
-            fleet: fleet::Fleet::new(config.trial, config.seed),
+            dispatch_pending: collections::BTreeSet::new(),
+            fleet: fleet::Fleet::new(config.baselines, config.seed),
             answers: cache::Answers::default(),
             usage: collections::BTreeMap::new(),
-            calls: calls::Calls::new(config.life),
-            heard: collections::HashMap::new(),
+            calls: calls::Calls::new(config.incarnation),
+            last_heard: collections::HashMap::new(),
             rng: rngs::SmallRng::seed_from_u64(config.seed),
             attempts: 0,
             counts: Counts::default(),
@@ -127,14 +127,14 @@
             renewals: collections::BTreeMap::new(),
             renew_at: 0,
             prune_at: 0,
-            duty_at: 0,
+            next_membership: 0,
             return_at: 0,
-            abroad_at: 0,
+            remote_ping_at: 0,
             fetch_at: now.mono + SETTINGS_WAIT,
             table_requested: false,
             leaving: collections::BTreeSet::new(),
             members: collections::BTreeSet::new(),
-            left: None,
+            left_at: None,
             drained: false,
             drain_reported: false,
             ready: false,
@@ -148,10 +148,10 @@
         match event {
             Event::Tick => self.tick(now),
             Event::Peer(from, body) => self.on_peer(&from, body, now),
-            Event::Saved(number) => self.settings.saved(number, now.mono),
+            Event::Saved(number) => self.settings.on_saved(number, now.mono),
             Event::Submit(ticket, spec) => self.on_submit(ticket, spec, now),
-            Event::Show(ticket, job) => self.show(Waiter::Viewer(ticket), &job, false, now),
-            Event::Cancel(ticket, job) => self.cancel(Waiter::Viewer(ticket), &job, now),
+            Event::Show(ticket, job) => self.show(Waiter::Query(ticket), &job, false, now),
+            Event::Cancel(ticket, job) => self.cancel(Waiter::Query(ticket), &job, now),
             Event::Announce(ticket, info) => self.announce(ticket, info, now),
             Event::Withdraw(ticket, name) => self.withdraw(ticket, &name, now),
             Event::Done(done) => self.on_done(done, now),
@@ -206,7 +206,7 @@
     }
 
     /// Time since the instance last held a lease, microseconds.
-    pub(crate) fn unleased(&self, now: u64) -> u64 {
+    pub(crate) fn without_lease(&self, now: u64) -> u64 {
         now.saturating_sub(self.last_leased)
     }
 
@@ -227,7 +227,7 @@
     fn tick(&mut self, now: Now) {
         self.settings.tick(now);
         self.journal.tick(now);
-        for group in self.witness.values_mut() {
+        for group in self.witness_journals.values_mut() {
             group.tick(now);
         }
         if self.has_lease(now.mono) {
@@ -235,7 +235,7 @@
         }
         self.fetch_settings(now);
         self.update_ready(now);
-        self.duties(now);
+        self.manage_membership(now);
         self.tick_jobs(now);
         self.tick_calls(now);
         self.tick_changes(now);
@@ -243,7 +243,7 @@
         self.tick_drain(now);
         self.prune(now);
         let waiting = self.services.iter().filter(|(_, service)| !service.queue.is_empty());
-        self.dirty.extend(waiting.map(|(name, _)| name.clone()));
+        self.dispatch_pending.extend(waiting.map(|(name, _)| name.clone()));
     }
 
     fn update_ready(&mut self, now: Now) {
@@ -262,9 +262,11 @@
             self.counts.rejected += 1;
             return;
         }
-        self.heard.insert(from.clone(), now.mono);
+        self.last_heard.insert(from.clone(), now.mono);
         match body {
-            Body::Form(group, life, form) => self.on_form(from, &group, life, &form, now),
+            Body::Form(group, incarnation, form) => {
+                self.on_form(from, &group, incarnation, &form, now);
+            }
             Body::Raft(group, route, raft) => self.on_raft(from, &group, route, raft, now),
             Body::Propose(group, route, command) => {
                 self.on_propose(from, &group, route, command, now);
@@ -281,11 +283,11 @@
         &mut self,
         from: &name::Name,
         group: &message::Group,
-        life: u64,
-        form: &message::Form,
+        incarnation: u64,
+        form: &message::FormMessage,
         now: Now,
     ) {
-        let from = name::Member::new(from, life);
+        let from = name::Member::new(from, incarnation);
         match group {
             message::Group::Settings => self.settings.on_form(&from, form, now),
             message::Group::Journal(zone) => match self.journal_of(zone) {
@@ -337,30 +339,30 @@
         if *zone == self.config.me.zone {
             return Some(&mut self.journal);
         }
-        self.witness.get_mut(zone)
+        self.witness_journals.get_mut(zone)
     }
 
     /// Processes the outputs of the groups until no further effects result from them.
     fn process_groups(&mut self, now: Now) {
         loop {
-            let settings = self.settings.take();
-            let journal = self.journal.take();
+            let settings = self.settings.take_output();
+            let journal = self.journal.take_output();
             let idle = settings.effects.is_empty() && journal.effects.is_empty();
-            let replaced = settings.restored || journal.restored || journal.lost;
+            let replaced = settings.restored || journal.restored || journal.left_formation;
             self.process_settings(settings, now);
             self.process_journal(journal, now);
-            self.dispatch_dirty(now);
+            self.dispatch_pending(now);
             if idle && !replaced {
                 break;
             }
         }
         // The last round may have produced further messages and saves.
-        let settings = self.settings.take();
+        let settings = self.settings.take_output();
         self.process_settings(settings, now);
-        let journal = self.journal.take();
+        let journal = self.journal.take_output();
         self.process_journal(journal, now);
-        for group in self.witness.values_mut() {
-            let sends = group.take().sends;
+        for group in self.witness_journals.values_mut() {
+            let sends = group.take_output().sends;
             self.out.extend(sends.into_iter().map(|(to, body)| Output::Send(to, body)));
         }
     }
@@ -372,13 +374,13 @@
             self.out.push(Output::Settings);
         }
         for effect in out.effects {
-            self.tell_change(effect.change, effect.outcome);
+            self.reply_change(effect.change, effect.outcome);
         }
         if out.restored {
             let pending: Vec<_> = self.changes.keys().copied().collect();
             for change in pending {
                 if let Some(outcome) = self.tree().outcome(change) {
-                    self.tell_change(change, outcome);
+                    self.reply_change(change, outcome);
                 }
             }
             self.tick_changes(now);
@@ -387,19 +389,19 @@
 
     fn process_journal(&mut self, out: group::Output<table::Effect>, now: Now) {
         self.out.extend(out.sends.into_iter().map(|(to, body)| Output::Send(to, body)));
-        if out.lost {
+        if out.left_formation {
             self.lose_jobs();
             self.ready = false;
         }
-        if out.restored || out.lost {
+        if out.restored || out.left_formation {
             self.on_members(now);
-            self.review_jobs(now);
+            self.reconcile_jobs(now);
         }
         for effect in out.effects {
             match effect {
                 table::Effect::Members => self.on_members(now),
                 table::Effect::Admitted(job, owner) => self.on_admitted(&job, &owner, now),
-                table::Effect::Known(job, owner) => self.on_known(&job, &owner, now),
+                table::Effect::Known(job, owner) => self.on_duplicate_admission(&job, &owner, now),
                 table::Effect::Limited(job, owner, retry) => {
                     self.on_limited(&job, &owner, retry);
                 }
@@ -427,42 +429,42 @@
                 self.send(&to, Body::Table(message::Table::Ask));
             }
         }
-        if self.left.is_some() && rank.is_none() {
+        if self.left_at.is_some() && rank.is_none() {
             self.drained = true;
         }
-        self.dirty.extend(self.services.keys().cloned());
+        self.dispatch_pending.extend(self.services.keys().cloned());
         if self.has_lease(now.mono) {
             self.last_leased = now.mono;
         }
     }
 
     /// Completes a drain: once no job or call is in progress, gives up membership and its slot
-    /// shares, hands over leadership, and reports [`Output::Drained`].
+    /// shares, transfers leadership, and reports [`Output::Drained`].
     fn tick_drain(&mut self, now: Now) {
         const EXPEL_WAIT: u64 = 1_000 * time::MS;
         if !self.draining {
             return;
         }
-        // Without contact to the journal, the outcome of a job cannot be learnt any more. A job
+        // Without contact to the journal, the outcome of a job cannot be determined any more. A job
         // without waiters does not delay the exit then.
-        let lost = self.unleased(now.mono) > LOST_CONTACT;
+        let lost = self.without_lease(now.mono) > CONTACT_TIMEOUT;
         let busy = self.jobs.values().any(|job| !lost || !job.waiters.is_empty());
         if busy || !self.calls.is_empty() {
             return;
         }
-        match self.left {
+        match self.left_at {
             None => {
-                self.left = Some(now.mono);
+                self.left_at = Some(now.mono);
                 let me = self.journal.me().clone();
                 for to in self.neighbours() {
-                    let leaving = message::Job::Leaving { life: me.life };
+                    let leaving = message::Job::Leaving { incarnation: me.incarnation };
                     self.send(&to, Body::Job(leaving));
                 }
                 self.propose(&table::Command::Expel(me), now);
             }
             Some(since) if self.drained || now.mono > since + EXPEL_WAIT => {
-                self.journal.hand_over(now.mono);
-                self.settings.hand_over(now.mono);
+                self.journal.transfer_leadership(now.mono);
+                self.settings.transfer_leadership(now.mono);
                 if !self.drain_reported {
                     self.drain_reported = true;
                     self.out.push(Output::Drained);
--- a/crates/coord/src/duty.rs
+++ b/crates/coord/src/duty.rs
@@ -4,26 +4,26 @@
 use state::{name, table};
 
 use crate::{
-    core::{Core, EXPEL},
+    core::{Core, EXPEL_TIMEOUT},
     group, machine, time,
     time::Now,
 };
 
 impl Core {
     /// Admits instances and expels silent ones, for each journal that this instance leads.
-    pub(crate) fn duties(&mut self, now: Now) {
+    pub(crate) fn manage_membership(&mut self, now: Now) {
         const INTERVAL: u64 = 100 * time::MS;
-        if now.mono < self.duty_at {
+        if now.mono < self.next_membership {
             return;
         }
-        self.duty_at = now.mono + INTERVAL;
+        self.next_membership = now.mono + INTERVAL;
         let home = self.config.me.zone.clone();
         let commands = self.membership_commands(&self.journal, &home, now.mono);
         for command in commands {
             self.counts.expelled += u64::from(matches!(command, table::Command::Expel(_)));
             self.propose(&command, now);
         }
-        for (zone, mut journal) in std::mem::take(&mut self.witness) {
+        for (zone, mut journal) in std::mem::take(&mut self.witness_journals) {
             for command in self.membership_commands(&journal, &zone, now.mono) {
                 journal.propose(&machine::encode(&command), now.mono);
             }
@@ -31,7 +31,7 @@
             let seats = self.config.all.iter().filter(|instance| instance.zone == zone);
             let seats: Vec<_> = seats.map(|instance| instance.name.clone()).collect();
             journal.transfer_leadership_to(&seats, now.mono);
-            self.witness.insert(zone, journal);
+            self.witness_journals.insert(zone, journal);
         }
     }
 
@@ -52,16 +52,16 @@
         let (me, table) = (journal.me(), &journal.machine().table);
         let in_zone =
             |name: &name::Name| self.config.all.iter().any(|i| i.name == *name && i.zone == *zone);
-        let is_recent = |contact: u64| now < contact + EXPEL;
+        let is_recent = |contact: u64| now < contact + EXPEL_TIMEOUT;
         let mut commands = Vec::new();
-        if in_zone(&me.name) && !table.is_live(me) && self.left.is_none() {
-            commands.push(table::Command::Enter(me.clone()));
+        if in_zone(&me.name) && !table.is_live(me) && self.left_at.is_none() {
+            commands.push(table::Command::Join(me.clone()));
         }
         for (peer, progress) in raft.peers() {
             let caught_up = progress.match_index >= raft.commit();
             let is_new = !table.is_live(peer) && in_zone(&peer.name);
             if is_new && caught_up && is_recent(progress.last_contact) && !self.is_leaving(peer) {
-                commands.push(table::Command::Enter(peer.clone()));
+                commands.push(table::Command::Join(peer.clone()));
             }
         }
         let last_contact = |member: &name::Member| {
--- a/crates/coord/src/election.rs
+++ b/crates/coord/src/election.rs
@@ -6,7 +6,7 @@
 use state::name;
 
 use crate::{
-    entry::Load,
+    entry::Payload,
     message::Raft as Message,
     raft::{LeaderState, Progress, Raft, Role, Save},
 };
@@ -89,7 +89,7 @@
             self.campaign(false, now);
         } else {
             self.become_leader(now);
-            self.append(Load::Empty, now);
+            self.append(Payload::Empty, now);
         }
     }
 
@@ -115,7 +115,7 @@
     }
 
     pub(crate) fn other_voters(&self) -> Vec<name::Member> {
-        let is_other = |m: &&name::Member| **m != self.me && m.life != 0;
+        let is_other = |m: &&name::Member| **m != self.me && m.incarnation != 0;
         self.voters.0.iter().filter(is_other).cloned().collect()
     }
 
--- a/crates/coord/src/entry.rs
+++ b/crates/coord/src/entry.rs
@@ -10,12 +10,12 @@
     /// Term of the leader that appended it.
     pub term: u64,
     /// Content of the entry.
-    pub load: Load,
+    pub payload: Payload,
 }
 
 /// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Load {
+pub enum Payload {
     /// No content: the first entry of a new leader.
     Empty,
     /// A command for the state machine.
@@ -50,7 +50,7 @@
 
     /// Returns these voters, with the seat of `member` given to its current incarnation.
     #[must_use]
-    pub fn with_life(&self, member: &name::Member) -> Self {
+    pub fn with_incarnation(&self, member: &name::Member) -> Self {
         let replace = |m: &name::Member| {
             if m.name == member.name { member.clone() } else { m.clone() }
         };
--- a/crates/coord/src/event.rs
+++ b/crates/coord/src/event.rs
@@ -117,7 +117,7 @@
     /// The outcome of a settings change.
     Changed(tree::Outcome),
     /// The outcome of the settings change is unknown: it may have been, or may yet be, accepted.
-    Untold(String),
+    Unknown(String),
 }
 
 /// An action for the embedding program to carry out.
@@ -137,7 +137,7 @@
     Settings,
     /// A job of the service was answered. The number is the latency beyond the service time of its
     /// longest task, microseconds.
-    Over(name::Name, u64),
+    ExcessLatency(name::Name, u64),
     /// The drain is complete; the process may exit.
     Drained,
 }
--- a/crates/coord/src/fleet.rs
+++ b/crates/coord/src/fleet.rs
@@ -42,7 +42,7 @@
     loads: collections::HashMap<name::Name, Load>,
     loans: share::Loans,
     rank: Option<(u32, u32)>,
-    trial: boot::Trial,
+    baselines: boot::Baselines,
     placer: Box<dyn place::Placer>,
     rng: rngs::SmallRng,
     ejections: u64,
@@ -50,15 +50,15 @@
 
 impl Fleet {
     /// Creates an empty fleet.
-    pub fn new(trial: boot::Trial, seed: u64) -> Self {
+    pub fn new(baselines: boot::Baselines, seed: u64) -> Self {
         Self {
             table: Upstreams::new(),
             services: collections::BTreeMap::new(),
             loads: collections::HashMap::new(),
             loans: share::Loans::new(),
             rank: None,
-            trial,
-            placer: place::placer(trial.placement),
+            baselines,
+            placer: place::new_placer(baselines.placement),
             rng: rngs::SmallRng::seed_from_u64(seed),
             ejections: 0,
         }
@@ -104,12 +104,13 @@
         changed
     }
 
-    /// Extends the lease of the upstream whose name has the digest `short`; returns false if no
+    /// Extends the lease of the upstream whose name has the hash `name_hash`; returns false if no
     /// such upstream is known.
-    pub fn renew(&mut self, short: u32, stamp: u64, until: u64) -> bool {
-        let found = self.table.iter().find(|l| state::id::short(l.info.name.as_str()) == short);
+    pub fn renew(&mut self, name_hash: u32, sequence: u64, until: u64) -> bool {
+        let found =
+            self.table.iter().find(|l| state::id::name_hash(l.info.name.as_str()) == name_hash);
         let name = found.map(|leased| leased.info.name.clone());
-        name.is_some_and(|name| self.table.renew(name.as_str(), stamp, until))
+        name.is_some_and(|name| self.table.renew(name.as_str(), sequence, until))
     }
 
     /// Sets the rank of this instance among the live members of its zone, and their count; `None`
@@ -120,7 +121,7 @@
 
     /// Ends the loans with instances for which `stays` returns false.
     pub fn keep_loans(&mut self, stays: impl Fn(&name::Name) -> bool) {
-        self.loans.keep(stays);
+        self.loans.retain_members(stays);
     }
 
     /// Removes upstreams whose lease expired long ago, and reclaims expired loans.
@@ -139,18 +140,18 @@
 
     /// Whether any upstream of the service is known, has the resources for `needs`, and is open at
     /// `now`.
-    pub fn reach(&self, service: &name::Name, needs: &Needs, now: u64) -> Reach {
-        let mut reach = Reach::Nobody;
+    pub fn availability(&self, service: &name::Name, needs: &Needs, now: u64) -> Availability {
+        let mut best = Availability::NoUpstream;
         for leased in self.upstreams_of(service) {
-            let fits = leased.info.room.is_none_or(|room| needs.fits(&room));
+            let fits = leased.info.capacity.is_none_or(|capacity| needs.fits(&capacity));
             let level = match (fits, leased.is_open(now)) {
-                (true, true) => return Reach::Open,
-                (true, false) => Reach::Closed,
-                (false, _) => Reach::Unfit,
+                (true, true) => return Availability::Open,
+                (true, false) => Availability::Closed,
+                (false, _) => Availability::Unfit,
             };
-            reach = reach.max(level);
+            best = best.max(level);
         }
-        reach
+        best
     }
 
     /// Counts the slots of a service.
@@ -183,7 +184,7 @@
         for (at, name) in names.iter().enumerate() {
             let leased = self.table.get(name.as_str()).filter(|leased| leased.is_open(now));
             let Some(leased) = leased else { continue };
-            let fits = leased.info.room.is_none_or(|room| needs.fits(&room));
+            let fits = leased.info.capacity.is_none_or(|capacity| needs.fits(&capacity));
             let Some(load) = self.loads.get(&leased.info.name).filter(|_| fits) else {
                 continue;
             };
@@ -225,7 +226,7 @@
             End::Neutral => {}
             End::Failed => {
                 let due = load.health.failed();
-                if due && self.trial.eject && self.may_eject(upstream, now) {
+                if due && self.baselines.eject && self.may_eject(upstream, now) {
                     self.ejections += 1;
                     if let Some(load) = self.loads.get_mut(upstream) {
                         load.health.eject(now);
@@ -266,8 +267,8 @@
     }
 
     /// Number of slots of a service that are borrowed from a peer.
-    pub fn held(&self, from: &name::Name, service: &name::Name) -> u32 {
-        self.loans.held(from, |upstream| self.serves(upstream, service))
+    pub fn borrowed_from(&self, from: &name::Name, service: &name::Name) -> u32 {
+        self.loans.borrowed_from(from, |upstream| self.serves(upstream, service))
     }
 
     /// Reconciles the loans with the number of slots that a peer reports as borrowed. Grants beyond
@@ -282,22 +283,22 @@
         self.table.get(upstream.as_str()).is_some_and(|leased| leased.info.service == *service)
     }
 
-    /// Records slots borrowed from a peer; `asked` is the time of the request.
-    pub fn borrow(&mut self, from: &name::Name, slots: &[(name::Name, u32)], asked: u64) {
+    /// Records slots borrowed from a peer; `requested_at` is the time of the request.
+    pub fn borrow(&mut self, from: &name::Name, slots: &[(name::Name, u32)], requested_at: u64) {
         for (upstream, count) in slots {
-            self.loans.borrow(from, upstream, *count, asked);
+            self.loans.borrow(from, upstream, *count, requested_at);
         }
     }
 
     /// Takes back the slots that a peer returns.
-    pub fn returned(&mut self, by: &name::Name, slots: &[(name::Name, u32)]) {
+    pub fn take_back(&mut self, by: &name::Name, slots: &[(name::Name, u32)]) {
         for (upstream, count) in slots {
-            self.loans.returned(by, upstream, *count);
+            self.loans.take_back(by, upstream, *count);
         }
     }
 
     /// Removes the idle borrowed slots and returns them, grouped by lender.
-    pub fn give_back(&mut self) -> collections::BTreeMap<name::Name, Vec<(name::Name, u32)>> {
+    pub fn return_idle(&mut self) -> collections::BTreeMap<name::Name, Vec<(name::Name, u32)>> {
         let idle = |leased: &Leased| {
             let name = &leased.info.name;
             let borrowed = self.loans.borrowed(name, 0);
@@ -308,7 +309,7 @@
         let idle: collections::HashMap<_, _> = self.table.iter().map(idle).collect();
         // Slots borrowed on an upstream that is no longer in the table are unusable here, so all
         // of them are returned.
-        self.loans.give_back(|name| idle.get(name).copied().unwrap_or(u32::MAX))
+        self.loans.return_idle(|name| idle.get(name).copied().unwrap_or(u32::MAX))
     }
 
     fn upstreams_of(&self, service: &name::Name) -> impl Iterator<Item = &Leased> {
@@ -319,7 +320,7 @@
     fn share_of(&self, leased: &Leased) -> u32 {
         let slots = leased.info.slots;
         match self.rank {
-            _ if !self.trial.shares => slots,
+            _ if !self.baselines.shares => slots,
             Some((rank, count)) => share::share(leased.info.name.as_str(), slots, rank, count),
             // An instance that is no live member starts only idempotent requests. It cannot compute
             // its share and uses one slot.
@@ -353,9 +354,9 @@
 
 /// Ability of a service's upstreams to take a task, from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum Availability {
     /// No upstream of the service is known.
-    Nobody,
+    NoUpstream,
     /// No known upstream has the resources for the task.
     Unfit,
     /// At least one upstream has the resources for the task, but none of them is open.
--- a/crates/coord/src/form.rs
+++ b/crates/coord/src/form.rs
@@ -76,7 +76,7 @@
         if let Some(attempt) = &mut self.attempt
             && attempt.formation == formation
         {
-            attempt.grants.insert(from.name.clone(), from.life);
+            attempt.grants.insert(from.name.clone(), from.incarnation);
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     fn request_grants(&mut self, now: u64, formation: Formation) -> Action {
-        let grants = collections::BTreeMap::from([(self.me.name.clone(), self.me.life)]);
+        let grants = collections::BTreeMap::from([(self.me.name.clone(), self.me.incarnation)]);
         self.attempt = Some(Attempt { formation, grants, at: now });
         if let Some(bootstrap) = self.granted_formation() {
             return bootstrap;
--- a/crates/coord/src/forward.rs
+++ b/crates/coord/src/forward.rs
@@ -42,7 +42,7 @@
                 }
                 self.out.push(Output::Reply(ticket, Reply::Verdict(verdict)));
             }
-            Waiter::Viewer(ticket) => {
+            Waiter::Query(ticket) => {
                 self.out.push(Output::Reply(ticket, Reply::Verdict(verdict)));
             }
             Waiter::Peer(to, call) => {
@@ -109,10 +109,10 @@
     /// zones, because zones exchange no regular traffic that would show which instances respond.
     fn ping_remote_zones(&mut self, now: Now) {
         const INTERVAL: u64 = 500 * time::MS;
-        if now.mono < self.abroad_at {
+        if now.mono < self.remote_ping_at {
             return;
         }
-        self.abroad_at = now.mono + INTERVAL;
+        self.remote_ping_at = now.mono + INTERVAL;
         if !self.tree().any_cross_zone() {
             return;
         }
@@ -128,7 +128,7 @@
 
     /// Whether an instance sent a message within `PEER_TIMEOUT`.
     fn is_responsive(&self, name: &name::Name, now: Now) -> bool {
-        self.heard.get(name).is_some_and(|heard| now.mono < heard + PEER_TIMEOUT)
+        self.last_heard.get(name).is_some_and(|heard| now.mono < heard + PEER_TIMEOUT)
     }
 
     /// Sends an admitted job to another zone to run there, in one message with all its tasks.
@@ -147,7 +147,7 @@
     fn pick_peer(&self, zone: &name::Name, tried: &[name::Name], now: Now) -> Option<name::Name> {
         let peers = self.config.all.iter().filter(|i| i.zone == *zone && !tried.contains(&i.name));
         let age = |name: &name::Name| {
-            now.mono.saturating_sub(self.heard.get(name).copied().unwrap_or(0)) / PEER_TIMEOUT
+            now.mono.saturating_sub(self.last_heard.get(name).copied().unwrap_or(0)) / PEER_TIMEOUT
         };
         let best = peers.min_by_key(|i| (age(&i.name).min(1), i.name.clone()));
         best.map(|instance| instance.name.clone())
@@ -202,7 +202,7 @@
         }
         let Some(entry) = self.table().get(job) else {
             let retention = self.tree().longest_retention();
-            let verdict = self.check_minted(job.minted(), retention, now);
+            let verdict = self.check_created(job.created_ms(), retention, now);
             let none = Verdict::refuse(Refusal::NoJob, "no such job was submitted", 0);
             return self.reply(waiter, verdict.err().unwrap_or(none));
         };
@@ -265,7 +265,7 @@
 
     fn reply_cancelled(&mut self, waiter: Waiter) {
         match waiter {
-            Waiter::Viewer(ticket) => self.out.push(Output::Reply(ticket, Reply::Cancelled)),
+            Waiter::Query(ticket) => self.out.push(Output::Reply(ticket, Reply::Cancelled)),
             other => self.reply(other, Verdict::Running),
         }
     }
@@ -307,8 +307,8 @@
                 self.send(from, Body::Job(message::Job::Copied { job }));
             }
             message::Job::Copied { job } => self.on_copied(&job, now),
-            message::Job::Leaving { life } => {
-                self.leaving.insert(name::Member::new(from, life));
+            message::Job::Leaving { incarnation } => {
+                self.leaving.insert(name::Member::new(from, incarnation));
             }
         }
     }
@@ -400,7 +400,7 @@
         let candidates = self.config.all.iter().filter(|i| zones.contains(&i.zone));
         callees.extend(candidates.map(|instance| instance.name.clone()));
         for to in callees {
-            let heard = self.heard.get(&to).copied().unwrap_or(0);
+            let heard = self.last_heard.get(&to).copied().unwrap_or(0);
             if now.mono > heard + PING_INTERVAL && to != self.config.me.name {
                 self.send(&to, Body::Ping(true));
             }
@@ -408,7 +408,7 @@
     }
 
     fn is_silent(&self, call: &Call, now: Now) -> bool {
-        let heard = self.heard.get(&call.to).copied().unwrap_or(0);
+        let heard = self.last_heard.get(&call.to).copied().unwrap_or(0);
         now.mono > heard.max(call.sent_at) + PEER_TIMEOUT
     }
 
@@ -421,7 +421,7 @@
             CallKind::Fetch(_) => late,
             CallKind::Await => {
                 let ended = call.ended_at.is_some_and(|at| now.mono > at + OWNER_GRACE);
-                late || ended || self.unleased(now.mono) > LEASE_TIMEOUT
+                late || ended || self.without_lease(now.mono) > LEASE_TIMEOUT
             }
         }
     }
--- a/crates/coord/src/group.rs
+++ b/crates/coord/src/group.rs
@@ -6,15 +6,15 @@
 use state::name;
 
 use crate::{
-    entry::Load,
+    entry::Payload,
     form,
-    message::{self, Form, Formation, Route},
+    message::{self, FormMessage, Formation, Route},
     raft::{self, Raft, Save, Timing},
     time,
 };
 
 /// Allowed difference between two wall clocks, in milliseconds.
-pub const SKEW_MS: u64 = 1_000;
+pub const MAX_SKEW_MS: u64 = 1_000;
 /// Number of log entries that a member keeps for slow followers although a snapshot covers them.
 pub(crate) const KEPT_ENTRIES: u64 = 2_048;
 /// Number of applied entries after which a member compacts its log.
@@ -58,34 +58,34 @@
     pub timing: Timing,
     /// Whether a member stores entries on disk before it counts them.
     pub durable: bool,
-    /// Whether the caller names the first voters ([`Group::form`]), so that the instances never
-    /// form the group by agreement and never leave it.
-    pub named: bool,
+    /// Whether the caller names the first voters ([`Group::bootstrap`]), so that the instances
+    /// never form the group by agreement and never leave it.
+    pub static_voters: bool,
     /// Number of applied entries after which the member compacts its log.
     pub compact_every: u64,
     /// Number of entries that a compaction keeps for slow followers.
     pub kept_entries: u64,
 }
 
-/// Effects that a member has collected since the last [`Group::take`].
+/// Effects that a member has collected since the last [`Group::take_output`].
 #[derive(Debug)]
 pub struct Output<E> {
     /// Messages to send.
     pub sends: Vec<(name::Name, message::Body)>,
-    /// Changes to write to disk, each with the number to pass to [`Group::saved`] afterwards.
+    /// Changes to write to disk, each with the number to pass to [`Group::on_saved`] afterwards.
     pub saves: Vec<(u64, Save)>,
     /// Effects of committed commands.
     pub effects: Vec<E>,
     /// Whether a snapshot replaced the whole state.
     pub restored: bool,
     /// Whether the member left a formation and discarded everything it knew of that formation.
-    pub lost: bool,
+    pub left_formation: bool,
 }
 
 impl<E> Default for Output<E> {
     fn default() -> Self {
         let (sends, saves, effects) = (Vec::new(), Vec::new(), Vec::new());
-        Self { sends, saves, effects, restored: false, lost: false }
+        Self { sends, saves, effects, restored: false, left_formation: false }
     }
 }
 
@@ -178,7 +178,7 @@
     }
 
     /// Returns the effects collected so far and clears them.
-    pub fn take(&mut self) -> Output<M::Effect> {
+    pub fn take_output(&mut self) -> Output<M::Effect> {
         std::mem::take(&mut self.out)
     }
 
@@ -235,12 +235,12 @@
     /// Performs the work that is due at `now`.
     pub fn tick(&mut self, now: time::Now) {
         match &mut self.stage {
-            Stage::Seeking(_) if self.config.named => self.probe_for_group(now.mono),
+            Stage::Seeking(_) if self.config.static_voters => self.probe_for_group(now.mono),
             Stage::Seeking(_) => self.seek_formation(now),
             Stage::Joined(joined) => {
                 joined.raft.tick(now.mono);
                 let leaderless = !joined.raft.has_leader(now.mono);
-                if leaderless && joined.raft.commit() == 0 && !self.config.named {
+                if leaderless && joined.raft.commit() == 0 && !self.config.static_voters {
                     // This formation never committed an entry; another formation may have done so.
                     self.leave_formation();
                 } else if leaderless {
@@ -259,9 +259,10 @@
         let Stage::Joined(joined) = &mut self.stage else {
             return false;
         };
-        let route = |to: u64| Route { formation: joined.formation, from: self.config.me.life, to };
+        let route =
+            |to: u64| Route { formation: joined.formation, from: self.config.me.incarnation, to };
         if joined.raft.is_leader() {
-            joined.raft.propose(Load::Command(command.clone()), now);
+            joined.raft.propose(Payload::Command(command.clone()), now);
             self.process_output(now);
             return true;
         }
@@ -269,13 +270,13 @@
             return false;
         };
         let group = self.config.group.clone();
-        let body = message::Body::Propose(group, route(leader.life), command.clone());
+        let body = message::Body::Propose(group, route(leader.incarnation), command.clone());
         self.out.sends.push((leader.name.clone(), body));
         true
     }
 
     /// Transfers leadership to another member if this one leads.
-    pub fn hand_over(&mut self, now: u64) {
+    pub fn transfer_leadership(&mut self, now: u64) {
         if let Stage::Joined(joined) = &mut self.stage {
             joined.raft.transfer_leadership(|_, _| true, now);
             self.process_output(now);
@@ -298,7 +299,7 @@
     }
 
     /// Records that the change with this number and all changes before it are on disk.
-    pub fn saved(&mut self, number: u64, now: u64) {
+    pub fn on_saved(&mut self, number: u64, now: u64) {
         self.last_saved = self.last_saved.max(number);
         while let Some((at, index, term)) = self.unsynced.front().copied()
             && at <= self.last_saved
@@ -319,27 +320,27 @@
     }
 
     /// Handles a formation message.
-    pub fn on_form(&mut self, from: &name::Member, form: &Form, now: time::Now) {
+    pub fn on_form(&mut self, from: &name::Member, form: &FormMessage, now: time::Now) {
         let reported = match form {
-            Form::Probe(formation) | Form::Found(formation) => *formation,
+            FormMessage::Probe(formation) | FormMessage::Found(formation) => *formation,
             // Only a member without a formation asks for a grant or gives one.
-            Form::Ask(_) | Form::Grant(_) => None,
+            FormMessage::Ask(_) | FormMessage::Grant(_) => None,
         };
-        self.peer_states.insert(from.name.clone(), (from.life, reported));
+        self.peer_states.insert(from.name.clone(), (from.incarnation, reported));
         match form {
-            Form::Probe(_) => self.on_probe(from, now.mono),
-            Form::Found(found) => {
+            FormMessage::Probe(_) => self.on_probe(from, now.mono),
+            FormMessage::Found(found) => {
                 if let Stage::Seeking(seeker) = &mut self.stage {
                     seeker.on_report(from, *found, now.mono);
                 }
             }
-            Form::Ask(formation) => {
+            FormMessage::Ask(formation) => {
                 if let Stage::Seeking(seeker) = &mut self.stage {
                     seeker.on_report(from, None, now.mono);
-                    self.send_form(&from.name, Form::Grant(*formation));
+                    self.send_form(&from.name, FormMessage::Grant(*formation));
                 }
             }
-            Form::Grant(formation) => {
+            FormMessage::Grant(formation) => {
                 if let Stage::Seeking(seeker) = &mut self.stage {
                     seeker.on_grant(from, *formation, now.mono);
                     self.seek_formation(now);
@@ -359,19 +360,19 @@
         now: u64,
     ) -> bool {
         let from = name::Member::new(from, route.from);
-        if route.to == self.config.me.life && self.formation() != Some(route.formation) {
+        if route.to == self.config.me.incarnation && self.formation() != Some(route.formation) {
             self.join_formation(route.formation, &body, now);
         }
         let Stage::Joined(joined) = &mut self.stage else {
             self.refused += 1;
             return false;
         };
-        if route.to != self.config.me.life || joined.formation != route.formation {
+        if route.to != self.config.me.incarnation || joined.formation != route.formation {
             self.refused += 1;
             return false;
         }
         joined.raft.step(&from, body, now);
-        self.peer_states.insert(from.name, (from.life, Some(route.formation)));
+        self.peer_states.insert(from.name, (from.incarnation, Some(route.formation)));
         self.process_output(now);
         true
     }
@@ -388,11 +389,11 @@
         let Stage::Joined(joined) = &mut self.stage else {
             return false;
         };
-        if joined.formation != route.formation || route.to != self.config.me.life {
+        if joined.formation != route.formation || route.to != self.config.me.incarnation {
             self.refused += 1;
             return false;
         }
-        if joined.raft.propose(Load::Command(command), now).is_none() {
+        if joined.raft.propose(Payload::Command(command), now).is_none() {
             return false;
         }
         joined.raft.notify_commit(&from);
@@ -412,8 +413,8 @@
         Raft::new(config.me.clone(), config.timing, config.durable, stored, now, self.seed)
     }
 
-    pub(crate) fn send_form(&mut self, to: &name::Name, form: Form) {
-        let body = message::Body::Form(self.config.group.clone(), self.config.me.life, form);
+    pub(crate) fn send_form(&mut self, to: &name::Name, form: FormMessage) {
+        let body = message::Body::Form(self.config.group.clone(), self.config.me.incarnation, form);
         self.out.sends.push((to.clone(), body));
     }
 
@@ -424,12 +425,12 @@
         }
     }
 
-    /// Applies the entries that the engine committed, and hands on its messages and changes.
+    /// Applies the entries that the engine committed, and passes on its messages and changes.
     pub(crate) fn process_output(&mut self, now: u64) {
         let Stage::Joined(joined) = &mut self.stage else {
             return;
         };
-        let mut out = joined.raft.take();
+        let mut out = joined.raft.take_output();
         let formation = joined.formation;
         if let Some(state) = out.restored.take() {
             self.machine.restore(&state);
@@ -437,7 +438,7 @@
             self.out.restored = true;
         }
         for entry in out.committed.drain(..) {
-            if let Load::Command(command) = &entry.load {
+            if let Payload::Command(command) = &entry.payload {
                 self.out.effects.extend(self.machine.apply(command));
             }
             joined.applied = entry.index;
@@ -458,7 +459,7 @@
     }
 
     fn send_raft(&mut self, formation: Formation, to: &name::Member, body: message::Raft) {
-        let route = Route { formation, from: self.config.me.life, to: to.life };
+        let route = Route { formation, from: self.config.me.incarnation, to: to.incarnation };
         let can_send = raft::can_precede_sync(&body) || self.last_saved >= self.last_issued;
         let body = message::Body::Raft(self.config.group.clone(), route, body);
         if can_send {
@@ -480,7 +481,7 @@
             joined.raft.send_snapshot(member, state.clone(), now);
         }
         let formation = joined.formation;
-        for (to, body) in joined.raft.take().sends {
+        for (to, body) in joined.raft.take_output().sends {
             self.send_raft(formation, &to, body);
         }
     }
--- a/crates/coord/src/groups.rs
+++ b/crates/coord/src/groups.rs
@@ -21,12 +21,12 @@
     let incarnation = if votes { config.disk } else { None };
     let group = group::Config {
         group: message::Group::Settings,
-        me: name::Member::new(me, incarnation.unwrap_or(config.life)),
+        me: name::Member::new(me, incarnation.unwrap_or(config.incarnation)),
         others: others(config, &seats),
         seats,
         timing: SETTINGS_TIMING,
         durable: votes,
-        named: false,
+        static_voters: false,
         compact_every: group::COMPACT_EVERY,
         kept_entries: group::KEPT_ENTRIES,
     };
@@ -39,12 +39,12 @@
     let home = config.all.iter().filter(|i| i.zone == *zone && !seats.contains(&i.name));
     let group = group::Config {
         group: message::Group::Journal(zone.clone()),
-        me: name::Member::new(&config.me.name, config.life),
+        me: name::Member::new(&config.me.name, config.incarnation),
         others: home.map(|i| i.name.clone()).collect(),
         seats,
         timing: JOURNAL_TIMING,
         durable: false,
-        named: false,
+        static_voters: false,
         compact_every: group::COMPACT_EVERY,
         kept_entries: group::KEPT_ENTRIES,
     };
--- a/crates/coord/src/health.rs
+++ b/crates/coord/src/health.rs
@@ -88,7 +88,7 @@
     const CAPACITY: usize = 256;
 
     /// Records one service time, microseconds.
-    pub fn note(&mut self, took: u64) {
+    pub fn record(&mut self, took: u64) {
         if self.samples.len() < Self::CAPACITY {
             self.samples.push(took);
         } else {
--- a/crates/coord/src/jobs.rs
+++ b/crates/coord/src/jobs.rs
@@ -65,9 +65,9 @@
             return Ok(());
         };
         let count = self.table().live().count().max(1) as u32;
-        claim.flight = claim.flight.div_ceil(count);
-        claim.rate = claim.rate.div_ceil(count);
-        self.usage.entry(claim.account.clone()).or_default().take(&claim)?;
+        claim.max_in_flight = claim.max_in_flight.div_ceil(count);
+        claim.max_rate = claim.max_rate.div_ceil(count);
+        self.usage.entry(claim.account.clone()).or_default().charge(&claim)?;
         if let Some(job) = self.jobs.get_mut(id) {
             job.claim = Some(claim);
         }
@@ -149,13 +149,13 @@
         let mut job = Job::new(sync::Arc::new(spec), digest, deadline, policy);
         job.submitted_at = now.mono;
         job.waiters.push(waiter);
-        self.due.insert((deadline, id.clone()));
+        self.deadlines.insert((deadline, id.clone()));
         self.jobs.insert(id, job);
         true
     }
 
     pub(crate) fn admit(&mut self, id: &id::JobId, now: Now) {
-        if self.unleased(now.mono) > LEASE_TIMEOUT {
+        if self.without_lease(now.mono) > LEASE_TIMEOUT {
             return self
                 .remove_and_reply(id, &Verdict::unknown("the zone's journal is out of reach"));
         }
@@ -185,7 +185,7 @@
         {
             usage.release(claim);
         }
-        self.due.remove(&(job.deadline, id.clone()));
+        self.deadlines.remove(&(job.deadline, id.clone()));
         Some(job)
     }
 
@@ -207,7 +207,12 @@
         }
     }
 
-    pub(crate) fn on_known(&mut self, id: &id::JobId, proposer: &name::Member, now: Now) {
+    pub(crate) fn on_duplicate_admission(
+        &mut self,
+        id: &id::JobId,
+        proposer: &name::Member,
+        now: Now,
+    ) {
         let mine = proposer == self.journal.me();
         let admitting = self.is_admitting(id);
         let owned = self.table().get(id).and_then(|entry| entry.owner.as_ref());
@@ -295,7 +300,8 @@
         let (spec, deadline) = (sync::Arc::clone(&job.spec), job.deadline);
         let may_leave_zone = job.journaled && job.policy.cross_zone;
         if may_leave_zone
-            && self.fleet.reach(&spec.service, &spec.needs, now.mono) != fleet::Reach::Open
+            && self.fleet.availability(&spec.service, &spec.needs, now.mono)
+                != fleet::Availability::Open
             && let Some(to) = self.pick_remote(now)
         {
             return self.execute_remote(&spec, &to, now);
@@ -305,7 +311,7 @@
             let task = Task { job: id.clone(), index };
             service.queue.push(spec.team.as_ref(), deadline, task);
         }
-        self.dirty.insert(spec.service.clone());
+        self.dispatch_pending.insert(spec.service.clone());
     }
 
     /// Ends a job: no further task of it starts, and the upstreams must stop its running tasks.
@@ -324,7 +330,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        self.due.remove(&(job.deadline, id.clone()));
+        self.deadlines.remove(&(job.deadline, id.clone()));
         let copy_deadline = now.mono + COPY_TIMEOUT;
         let committed = !job.journaled;
         job.retry_at = now.mono + if copies > 0 { COPY_RESEND_DELAY } else { REPROPOSE_INTERVAL };
@@ -396,7 +402,7 @@
         let verdict = ending.verdict.clone();
         if matches!(verdict, Verdict::Complete(_)) {
             let over = (now.mono - job.submitted_at).saturating_sub(job.longest_task);
-            self.out.push(Output::Over(job.spec.service.clone(), over));
+            self.out.push(Output::ExcessLatency(job.spec.service.clone(), over));
         }
         self.remove_and_reply(id, &verdict);
     }
@@ -425,7 +431,7 @@
     }
 
     /// Brings every job in line with the job table after the whole table was replaced.
-    pub(crate) fn review_jobs(&mut self, now: Now) {
+    pub(crate) fn reconcile_jobs(&mut self, now: Now) {
         let ids: Vec<_> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(entry) = self.table().get(&id).cloned() else {
--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -29,9 +29,9 @@
 //! let config = config::Config {
 //!     all: vec![me.clone()],
 //!     me,
-//!     life: 1,
+//!     incarnation: 1,
 //!     disk: Some(1),
-//!     trial: boot::Trial::default(),
+//!     baselines: boot::Baselines::default(),
 //!     seed: 7,
 //! };
 //! let mut clock = time::Now::new(1, 1_800_000_000_000);
@@ -70,8 +70,8 @@
 //!     address: Name::new("127.0.0.1:9000"),
 //!     slots: 1,
 //!     phase: upstream::Phase::Serving,
-//!     room: None,
-//!     stamp: 0,
+//!     capacity: None,
+//!     sequence: 0,
 //! };
 //! step(&mut core, event::Event::Announce(2, upstream), clock);
 //!
--- a/crates/coord/src/limit.rs
+++ b/crates/coord/src/limit.rs
@@ -24,28 +24,28 @@
     /// its job ran before.
     pub(crate) fn check_age(&self, spec: &Spec, now: Now) -> Result<(), Verdict> {
         let policy = self.tree().policy_at(spec.service.as_str());
-        self.check_minted(spec.job.minted(), policy.retention_ms, now)?;
-        if spec.job.minted() > now.wall + group::SKEW_MS {
-            let ahead = spec.job.minted() - now.wall;
+        self.check_created(spec.job.created_ms(), policy.retention_ms, now)?;
+        if spec.job.created_ms() > now.wall + group::MAX_SKEW_MS {
+            let ahead = spec.job.created_ms() - now.wall;
             let why = format!("the id is {ahead} ms ahead of this instance's clock");
             return Err(Verdict::refuse(Refusal::Malformed, why, 0));
         }
         Ok(())
     }
 
-    pub(crate) fn check_minted(
+    pub(crate) fn check_created(
         &self,
-        minted: u64,
+        created: u64,
         retention: u64,
         now: Now,
     ) -> Result<(), Verdict> {
         let Some(formation) = self.journal.formation() else {
             return Err(Verdict::unknown("the instance has not joined its zone's journal"));
         };
-        if minted < formation.at {
+        if created < formation.at {
             return Err(Verdict::unknown("the id is older than the zone's journal"));
         }
-        if minted + retention < now.wall || minted < self.table().floor() {
+        if created + retention < now.wall || created < self.table().pruned_before() {
             return Err(Verdict::unknown("the id is older than the retention"));
         }
         Ok(())
@@ -72,32 +72,37 @@
             return Err(Verdict::refuse(Refusal::TooLarge, why, 0));
         }
         if let Some(claim) = quota_claim(spec, &policy, now)
-            && claim.flight > 0
-            && claim.tasks > claim.flight
+            && claim.max_in_flight > 0
+            && claim.tasks > claim.max_in_flight
         {
-            let why = format!("the team may have {} tasks in flight", claim.flight);
+            let why = format!("the team may have {} tasks in flight", claim.max_in_flight);
             return Err(Verdict::refuse(Refusal::Quota, why, 0));
         }
-        self.check_reach(spec, &policy, now)?;
-        if self.config.trial.limits {
+        self.check_availability(spec, &policy, now)?;
+        if self.config.baselines.limits {
             self.check_capacity(spec, &policy, now)?;
         }
         Ok(policy)
     }
 
-    fn check_reach(&self, spec: &Spec, policy: &tree::Policy, now: Now) -> Result<(), Verdict> {
-        match self.fleet.reach(&spec.service, &spec.needs, now.mono) {
-            fleet::Reach::Open => Ok(()),
-            fleet::Reach::Unfit => {
+    fn check_availability(
+        &self,
+        spec: &Spec,
+        policy: &tree::Policy,
+        now: Now,
+    ) -> Result<(), Verdict> {
+        match self.fleet.availability(&spec.service, &spec.needs, now.mono) {
+            fleet::Availability::Open => Ok(()),
+            fleet::Availability::Unfit => {
                 let why = "no upstream of the service meets the needs of a task of the job";
                 Err(Verdict::refuse(Refusal::Impossible, why, 0))
             }
-            fleet::Reach::Nobody | fleet::Reach::Closed
+            fleet::Availability::NoUpstream | fleet::Availability::Closed
                 if policy.cross_zone && self.pick_remote(now).is_some() =>
             {
                 Ok(())
             }
-            fleet::Reach::Nobody | fleet::Reach::Closed => {
+            fleet::Availability::NoUpstream | fleet::Availability::Closed => {
                 let why = "no upstream of the service is serving";
                 let retry = policy.upstream_lease_ms / 3;
                 Err(Verdict::refuse(Refusal::NoUpstream, why, retry))
@@ -123,7 +128,7 @@
         let count = spec.tasks.len() as u64;
         let queued = service.queue.len() as u64;
         // Slots that idle peers would lend count, unless a whole round of peers has refused lately.
-        let local_only = now.mono < service.dry || self.neighbours().is_empty();
+        let local_only = now.mono < service.backoff_until || self.neighbours().is_empty();
         let slots = u64::from(if local_only { room.allowed } else { room.total }).max(1);
         let mean = service.times.mean().unwrap_or(0);
         let free = if local_only { u64::from(room.free) } else { slots.saturating_sub(queued) };
@@ -171,8 +176,8 @@
     Some(table::Claim {
         account: name::Name::new(&format!("{} {team}", spec.service)),
         tasks: spec.tasks.len() as u32,
-        flight: policy.team_in_flight as u32,
-        rate: policy.team_rate as u32,
-        at: now.wall,
+        max_in_flight: policy.team_in_flight as u32,
+        max_rate: policy.team_rate as u32,
+        time_ms: now.wall,
     })
 }
--- a/crates/coord/src/log.rs
+++ b/crates/coord/src/log.rs
@@ -38,7 +38,7 @@
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Term of the entry at `index`, if the log still knows it.
+    /// Term of the entry at `index`, if the log still has it.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.base {
             return Some(self.base_term);
--- a/crates/coord/src/message.rs
+++ b/crates/coord/src/message.rs
@@ -17,7 +17,7 @@
 
 /// Identity of one formation of a group.
 ///
-/// The group does not run jobs whose id was minted before [`Self::at`].
+/// The group does not run jobs whose id was created before [`Self::at`].
 #[derive(
     Clone,
     Copy,
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Body {
     /// A formation message of a group, with the sender's incarnation.
-    Form(Group, u64, Form),
+    Form(Group, u64, FormMessage),
     /// A consensus message within a formed group.
     Raft(Group, Route, Raft),
     /// A command for the leader of a group.
@@ -88,7 +88,7 @@
 
 /// Messages that form a group (see [`crate::group`]).
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub enum Form {
+pub enum FormMessage {
     /// Asks for the receiver's formation. It carries the sender's formation, if it has one.
     Probe(Option<Formation>),
     /// The sender's formation, if it has one, and whether it voted in it.
@@ -167,8 +167,9 @@
         /// Clock of the leader when it sent this.
         sent: u64,
     },
-    /// Hands leadership over to the receiver, which is to start an election at once.
-    Stand {
+    /// Transfers leadership: the receiver starts an election immediately (Ongaro 2014, section
+    /// 3.10).
+    TimeoutNow {
         /// Term of the leader.
         term: u64,
     },
@@ -183,7 +184,7 @@
             | Self::Append { term, .. }
             | Self::Appended { term, .. }
             | Self::Snapshot { term, .. }
-            | Self::Stand { term } => *term,
+            | Self::TimeoutNow { term } => *term,
         }
     }
 
@@ -193,7 +194,7 @@
             Self::Append { .. } => "append",
             Self::Appended { .. } => "ack",
             Self::Snapshot { .. } => "snapshot",
-            Self::Vote { .. } | Self::Voted { .. } | Self::Stand { .. } => "vote",
+            Self::Vote { .. } | Self::Voted { .. } | Self::TimeoutNow { .. } => "vote",
         }
     }
 }
@@ -399,7 +400,7 @@
     /// The sender is shutting down and must not be admitted as a member again.
     Leaving {
         /// Incarnation of the sender.
-        life: u64,
+        incarnation: u64,
     },
 }
 
@@ -408,7 +409,8 @@
 pub enum Table {
     /// Announcements, each with the remaining time of its lease in milliseconds.
     Changed(Vec<(upstream::Upstream, u64)>),
-    /// Renewed leases: digest of the upstream's name, stamp, remaining time in milliseconds.
+    /// Renewed leases: hash of the upstream's name, sequence number of its announcement, remaining
+    /// time in milliseconds.
     Renewed(Vec<(u32, u64, u32)>),
     /// Asks for the whole table.
     Ask,
--- a/crates/coord/src/news.rs
+++ b/crates/coord/src/news.rs
@@ -4,7 +4,7 @@
 use state::{id, name, upstream};
 
 use crate::{
-    core::{Core, RENEWALS},
+    core::{Core, RENEWAL_INTERVAL},
     event::{Output, Reply, Ticket},
     group, machine,
     message::{self, Body},
@@ -15,18 +15,18 @@
 impl Core {
     pub(crate) fn announce(&mut self, ticket: Ticket, mut info: upstream::Upstream, now: Now) {
         let lease = self.tree().policy_at(info.service.as_str()).upstream_lease_ms;
-        let held = self.fleet.table().get(info.name.as_str()).map_or(0, |held| held.info.stamp);
-        info.stamp = now.wall.max(held + 1);
-        let stamp = info.stamp;
+        let held = self.fleet.table().get(info.name.as_str()).map_or(0, |held| held.info.sequence);
+        info.sequence = now.wall.max(held + 1);
+        let sequence = info.sequence;
         let changed = self.fleet.put(info.clone(), now.after(lease));
-        self.dirty.insert(info.service.clone());
+        self.dispatch_pending.insert(info.service.clone());
         if changed {
             let update = message::Table::Changed(vec![(info, lease)]);
             for to in self.neighbours() {
                 self.send(&to, Body::Table(update.clone()));
             }
         } else {
-            self.renewals.insert(id::short(info.name.as_str()), stamp);
+            self.renewals.insert(id::name_hash(info.name.as_str()), sequence);
         }
         self.out.push(Output::Reply(ticket, Reply::Lease(lease)));
     }
@@ -45,13 +45,13 @@
         match update {
             message::Table::Changed(list) => {
                 for (info, remaining) in list {
-                    self.dirty.insert(info.service.clone());
+                    self.dispatch_pending.insert(info.service.clone());
                     self.fleet.put(info, now.after(remaining));
                 }
             }
             message::Table::Renewed(list) => {
-                let renew = |(short, stamp, remaining): &(u32, u64, u32)| {
-                    self.fleet.renew(*short, *stamp, now.after(u64::from(*remaining)))
+                let renew = |(hash, sequence, remaining): &(u32, u64, u32)| {
+                    self.fleet.renew(*hash, *sequence, now.after(u64::from(*remaining)))
                 };
                 let known = list.iter().map(renew).filter(|known| *known).count();
                 if known < list.len() {
@@ -66,7 +66,8 @@
             }
             message::Table::Settings(state) => self.on_settings(&state),
             message::Table::Ask => {
-                let remaining = |l: &upstream::Leased| l.until.saturating_sub(now.mono) / time::MS;
+                let remaining =
+                    |l: &upstream::Leased| l.expires.saturating_sub(now.mono) / time::MS;
                 let list: Vec<_> =
                     self.fleet.table().iter().map(|l| (l.info.clone(), remaining(l))).collect();
                 if !list.is_empty() {
@@ -109,16 +110,14 @@
         if now.mono < self.renew_at || self.renewals.is_empty() {
             return;
         }
-        self.renew_at = now.mono + RENEWALS;
+        self.renew_at = now.mono + RENEWAL_INTERVAL;
         let renewals = std::mem::take(&mut self.renewals);
-        let held = |(short, stamp): (u32, u64)| {
-            let found = self
-                .fleet
-                .table()
-                .iter()
-                .find(|l| l.info.stamp == stamp && id::short(l.info.name.as_str()) == short);
-            let remaining = found?.until.saturating_sub(now.mono) / time::MS;
-            Some((short, stamp, remaining as u32))
+        let held = |(hash, sequence): (u32, u64)| {
+            let found = self.fleet.table().iter().find(|l| {
+                l.info.sequence == sequence && id::name_hash(l.info.name.as_str()) == hash
+            });
+            let remaining = found?.expires.saturating_sub(now.mono) / time::MS;
+            Some((hash, sequence, remaining as u32))
         };
         let list: Vec<_> = renewals.into_iter().filter_map(held).collect();
         for to in self.neighbours() {
--- a/crates/coord/src/overdue.rs
+++ b/crates/coord/src/overdue.rs
@@ -4,7 +4,7 @@
 use state::{id, table};
 
 use crate::{
-    core::{Core, LOST_CONTACT},
+    core::{CONTACT_TIMEOUT, Core},
     job::Phase,
     message::{Refusal, Verdict},
     time::{self, Now},
@@ -19,13 +19,13 @@
 
 impl Core {
     pub(crate) fn tick_jobs(&mut self, now: Now) {
-        while let Some((deadline, id)) = self.due.first().cloned()
+        while let Some((deadline, id)) = self.deadlines.first().cloned()
             && deadline <= now.mono
         {
-            self.due.pop_first();
+            self.deadlines.pop_first();
             self.on_deadline(&id, now);
         }
-        let lost_contact = self.unleased(now.mono) > LOST_CONTACT;
+        let lost_contact = self.without_lease(now.mono) > CONTACT_TIMEOUT;
         let mut due = Vec::new();
         for (id, job) in &self.jobs {
             let pending = !matches!(job.phase, Phase::Running);
@@ -98,7 +98,7 @@
         let longest = self.tree().longest_retention();
         let before = now.wall.saturating_sub(longest + RETENTION_MARGIN_MS);
         self.journal.machine_mut().table.prune(before);
-        for group in self.witness.values_mut() {
+        for group in self.witness_journals.values_mut() {
             group.machine_mut().table.prune(before);
         }
         self.answers.prune(before);
--- a/crates/coord/src/place.rs
+++ b/crates/coord/src/place.rs
@@ -30,7 +30,7 @@
 }
 
 /// Creates the placer for the choice in the bootstrap configuration.
-pub fn placer(choice: boot::Placement) -> Box<dyn Placer> {
+pub fn new_placer(choice: boot::Placement) -> Box<dyn Placer> {
     match choice {
         boot::Placement::LeastWork => Box::new(LeastWork),
         boot::Placement::TwoChoices => Box::new(TwoChoices),
--- a/crates/coord/src/raft.rs
+++ b/crates/coord/src/raft.rs
@@ -16,7 +16,7 @@
 use state::name;
 
 use crate::{
-    entry::{Entry, Load, Voters},
+    entry::{Entry, Payload, Voters},
     log, message,
     message::Raft as Message,
 };
@@ -67,7 +67,7 @@
     },
 }
 
-/// Effects that the engine has collected since the last [`Raft::take`].
+/// Effects that the engine has collected since the last [`Raft::take_output`].
 #[derive(Debug, Default)]
 pub struct Output {
     /// Messages to send.
@@ -199,12 +199,12 @@
         raft.out.saves.push(Save::Hard(raft.term, raft.vote.clone()));
         raft.become_leader(now);
         let voters = raft.voters.clone();
-        raft.append(Load::Voters(voters), now);
+        raft.append(Payload::Voters(voters), now);
         raft
     }
 
     /// Returns the effects collected so far and clears them.
-    pub fn take(&mut self) -> Output {
+    pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
 
@@ -278,7 +278,7 @@
 
     /// Whether the latest voter change is committed, so that another may follow.
     pub fn is_settled(&self) -> bool {
-        let is_change = |entry: &&Entry| matches!(entry.load, Load::Voters(_));
+        let is_change = |entry: &&Entry| matches!(entry.payload, Payload::Voters(_));
         let last = self.log.iter().rev().find(is_change);
         self.is_current() && last.is_none_or(|entry| entry.index <= self.commit)
     }
@@ -299,11 +299,11 @@
     }
 
     /// Appends an entry if this member leads and returns its index; otherwise returns `None`.
-    pub fn propose(&mut self, load: Load, now: u64) -> Option<u64> {
+    pub fn propose(&mut self, payload: Payload, now: u64) -> Option<u64> {
         if !self.is_leader() {
             return None;
         }
-        Some(self.append(load, now))
+        Some(self.append(payload, now))
     }
 
     /// Sends `member` the commit index as soon as everything proposed so far is committed.
@@ -371,8 +371,8 @@
 
     /// Voters as of `index`.
     pub fn voters_at(&self, index: u64) -> Voters {
-        let change = |entry: &Entry| match &entry.load {
-            Load::Voters(voters) if entry.index <= index => Some(voters.clone()),
+        let change = |entry: &Entry| match &entry.payload {
+            Payload::Voters(voters) if entry.index <= index => Some(voters.clone()),
             _ => None,
         };
         self.log.iter().rev().find_map(change).unwrap_or_else(|| self.base_voters.clone())
@@ -413,7 +413,7 @@
         if let Some(target) = best {
             let term = self.term;
             self.become_follower(None, now);
-            self.out.sends.push((target, Message::Stand { term }));
+            self.out.sends.push((target, Message::TimeoutNow { term }));
         }
     }
 
@@ -445,7 +445,7 @@
                     self.on_snapshot(from, (index, index_term), voters, state, sent, now);
                 }
             }
-            Message::Stand { term } => {
+            Message::TimeoutNow { term } => {
                 if term == self.term && self.voters.contains(&self.me) {
                     self.leader_contact = 0;
                     self.campaign(false, now);
--- a/crates/coord/src/replicate.rs
+++ b/crates/coord/src/replicate.rs
@@ -4,7 +4,7 @@
 use state::name;
 
 use crate::{
-    entry::{Entry, Load, Voters},
+    entry::{Entry, Payload, Voters},
     log,
     message::Raft as Message,
     raft::{LeaderState, MAX_BATCH, Progress, Raft, Role, SNAPSHOT_INTERVAL, Save},
@@ -149,10 +149,10 @@
         }
     }
 
-    pub(crate) fn append(&mut self, load: Load, now: u64) -> u64 {
+    pub(crate) fn append(&mut self, payload: Payload, now: u64) -> u64 {
         let index = self.log.last() + 1;
-        let is_change = matches!(load, Load::Voters(_));
-        let entry = Entry { index, term: self.term, load };
+        let is_change = matches!(payload, Payload::Voters(_));
+        let entry = Entry { index, term: self.term, payload };
         self.out.saves.push(Save::Entry(entry.clone()));
         self.log.push(entry);
         if is_change {
--- a/crates/coord/src/run.rs
+++ b/crates/coord/src/run.rs
@@ -23,8 +23,8 @@
 const LOAN_BACKOFF: (u64, u64) = (50 * time::MS, 1_000 * time::MS);
 
 impl Core {
-    pub(crate) fn dispatch_dirty(&mut self, now: Now) {
-        for service in std::mem::take(&mut self.dirty) {
+    pub(crate) fn dispatch_pending(&mut self, now: Now) {
+        for service in std::mem::take(&mut self.dispatch_pending) {
             self.dispatch(&service, now);
         }
     }
@@ -112,7 +112,7 @@
             Finish::Unreached | Finish::Failed(_) => fleet::End::Failed,
         };
         let service = self.fleet.table().get(done.upstream.as_str()).map(|l| &l.info.service);
-        self.dirty.extend(service.cloned());
+        self.dispatch_pending.extend(service.cloned());
         let expected = self.take_attempt(&done);
         // If this instance has stopped a task, its failure is no sign of a fault of the upstream.
         let cancelled = !expected && end == fleet::End::Failed;
@@ -159,7 +159,7 @@
         let complete = job.unanswered == 0;
         let answers = if complete { job.answers() } else { Vec::new() };
         if let Some(service) = self.services.get_mut(&job.spec.service) {
-            service.times.note(took);
+            service.times.record(took);
             service.budget.earn(job.policy.retry_budget);
         }
         for attempt in &others {
@@ -242,23 +242,23 @@
     /// Requests idle slots from the peers in turn, with one outstanding request at a time.
     fn request_slots(&mut self, service: &name::Name, now: Now) {
         let peers = self.neighbours();
-        let trial = self.config.trial;
-        if peers.is_empty() || !trial.borrow || !trial.shares {
+        let baselines = self.config.baselines;
+        if peers.is_empty() || !baselines.borrow || !baselines.shares {
             return;
         }
         let Some(entry) = self.services.get_mut(service) else {
             return;
         };
-        let outstanding = entry.asking.is_some() && now.mono < entry.asked + LOAN_TIMEOUT;
-        if outstanding || now.mono < entry.dry {
+        let outstanding = entry.lender.is_some() && now.mono < entry.requested_at + LOAN_TIMEOUT;
+        if outstanding || now.mono < entry.backoff_until {
             return;
         }
-        let to = peers[entry.turn % peers.len()].clone();
-        entry.asking = Some(to.clone());
-        entry.asked = now.mono;
+        let to = peers[entry.next_peer % peers.len()].clone();
+        entry.lender = Some(to.clone());
+        entry.requested_at = now.mono;
         let count = (entry.queue.len() as u32).min(MAX_LOAN);
-        let (number, service) = (entry.asked, service.clone());
-        let held = self.fleet.held(&to, &service);
+        let (number, service) = (entry.requested_at, service.clone());
+        let held = self.fleet.borrowed_from(&to, &service);
         self.counts.asked_loans += 1;
         self.send(&to, Body::Loan(message::Loan::Ask { service, count, number, held }));
     }
@@ -277,8 +277,8 @@
                 self.on_grant(from, &service, number, &slots, now);
             }
             message::Loan::Return { slots } => {
-                self.fleet.returned(from, &slots);
-                self.dirty.extend(self.services.keys().cloned());
+                self.fleet.take_back(from, &slots);
+                self.dispatch_pending.extend(self.services.keys().cloned());
             }
         }
     }
@@ -295,23 +295,23 @@
         let Some(entry) = self.services.get_mut(service) else {
             return;
         };
-        if entry.asking.as_ref() != Some(from) || entry.asked != number {
+        if entry.lender.as_ref() != Some(from) || entry.requested_at != number {
             return self.send(from, Body::Loan(message::Loan::Return { slots: slots.to_vec() }));
         }
-        entry.asking = None;
+        entry.lender = None;
         if slots.is_empty() {
-            entry.turn += 1;
-            if entry.turn.is_multiple_of(peers) {
-                entry.pause = (entry.pause * 2).clamp(LOAN_BACKOFF.0, LOAN_BACKOFF.1);
-                entry.dry = now.mono + entry.pause;
+            entry.next_peer += 1;
+            if entry.next_peer.is_multiple_of(peers) {
+                entry.backoff = (entry.backoff * 2).clamp(LOAN_BACKOFF.0, LOAN_BACKOFF.1);
+                entry.backoff_until = now.mono + entry.backoff;
             }
         } else {
-            entry.pause = 0;
+            entry.backoff = 0;
             self.counts.borrowed += slots.iter().map(|(_, count)| u64::from(*count)).sum::<u64>();
-            let asked = entry.asked;
-            self.fleet.borrow(from, slots, asked);
+            let requested_at = entry.requested_at;
+            self.fleet.borrow(from, slots, requested_at);
         }
-        self.dirty.insert(service.clone());
+        self.dispatch_pending.insert(service.clone());
     }
 
     /// Returns idle borrowed slots, at intervals instead of at once because the next job may need
@@ -322,7 +322,7 @@
             return;
         }
         self.return_at = now.mono + RETURN_INTERVAL;
-        for (to, slots) in self.fleet.give_back() {
+        for (to, slots) in self.fleet.return_idle() {
             self.send(&to, Body::Loan(message::Loan::Return { slots }));
         }
     }
--- a/crates/coord/src/share.rs
+++ b/crates/coord/src/share.rs
@@ -24,7 +24,7 @@
     if count == 0 {
         return 0;
     }
-    let offset = id::short(upstream) % count;
+    let offset = id::name_hash(upstream) % count;
     let position = (rank + count - offset) % count;
     slots / count + u32::from(position < slots % count)
 }
@@ -82,14 +82,20 @@
         self.lent.push(Lent { to, upstream, slots, until: now + RECLAIM_DELAY });
     }
 
-    /// Records slots borrowed from a peer; `asked` is the time of the request.
-    pub fn borrow(&mut self, from: &name::Name, upstream: &name::Name, slots: u32, asked: u64) {
+    /// Records slots borrowed from a peer; `requested_at` is the time of the request.
+    pub fn borrow(
+        &mut self,
+        from: &name::Name,
+        upstream: &name::Name,
+        slots: u32,
+        requested_at: u64,
+    ) {
         let (from, upstream) = (from.clone(), upstream.clone());
-        self.borrowed.push(Borrowed { from, upstream, slots, until: asked + BORROW_PERIOD });
+        self.borrowed.push(Borrowed { from, upstream, slots, until: requested_at + BORROW_PERIOD });
     }
 
     /// Number of slots borrowed from a peer on the upstreams for which `covers` returns true.
-    pub fn held(&self, from: &name::Name, covers: impl Fn(&name::Name) -> bool) -> u32 {
+    pub fn borrowed_from(&self, from: &name::Name, covers: impl Fn(&name::Name) -> bool) -> u32 {
         let from = self.borrowed.iter().filter(|loan| loan.from == *from);
         from.filter(|loan| covers(&loan.upstream)).map(|loan| loan.slots).sum()
     }
@@ -105,7 +111,7 @@
     }
 
     /// Records that a peer has returned slots.
-    pub fn returned(&mut self, by: &name::Name, upstream: &name::Name, slots: u32) {
+    pub fn take_back(&mut self, by: &name::Name, upstream: &name::Name, slots: u32) {
         let mut left = slots;
         for loan in self.lent.iter_mut().filter(|l| l.to == *by && l.upstream == *upstream) {
             let part = left.min(loan.slots);
@@ -117,7 +123,7 @@
 
     /// Removes the borrowed slots that are idle, as many per upstream as `idle` returns, and
     /// returns them by lender. Expired loans whose slots are in use stay until the slots are idle.
-    pub fn give_back(
+    pub fn return_idle(
         &mut self,
         mut idle: impl FnMut(&name::Name) -> u32,
     ) -> collections::BTreeMap<name::Name, Vec<(name::Name, u32)>> {
@@ -144,7 +150,7 @@
     }
 
     /// Removes all loans with instances for which `is_member` returns false.
-    pub fn keep(&mut self, is_member: impl Fn(&name::Name) -> bool) {
+    pub fn retain_members(&mut self, is_member: impl Fn(&name::Name) -> bool) {
         self.lent.retain(|loan| is_member(&loan.to));
         self.borrowed.retain(|loan| is_member(&loan.from));
     }
--- a/crates/coord/src/status.rs
+++ b/crates/coord/src/status.rs
@@ -104,7 +104,7 @@
             address: leased.info.address.clone(),
             slots: leased.info.slots,
             phase: leased.info.phase,
-            lease_ms: remaining(leased.until),
+            lease_ms: remaining(leased.expires),
             outstanding: self.fleet.outstanding(leased.info.name.as_str()),
             ejected: self.fleet.is_ejected(leased.info.name.as_str(), now.mono),
         });
@@ -148,8 +148,8 @@
             describe_group("settings".to_owned(), &self.settings, now),
             describe_group(journal(self.zone()), &self.journal, now),
         ];
-        let witness = self.witness.iter();
-        groups.extend(witness.map(|(zone, group)| describe_group(journal(zone), group, now)));
+        let witnessed = self.witness_journals.iter();
+        groups.extend(witnessed.map(|(zone, group)| describe_group(journal(zone), group, now)));
         groups
     }
 
--- a/crates/coord/src/upkeep.rs
+++ b/crates/coord/src/upkeep.rs
@@ -3,10 +3,10 @@
 use state::name;
 
 use crate::{
-    entry::{Load, Voters},
+    entry::{Payload, Voters},
     form,
-    group::{Config, Group, Joined, LEARNER_TIMEOUT, Machine, PROBE_INTERVAL, SKEW_MS, Stage},
-    message::{self, Form, Formation},
+    group::{Config, Group, Joined, LEARNER_TIMEOUT, MAX_SKEW_MS, Machine, PROBE_INTERVAL, Stage},
+    message::{self, FormMessage, Formation},
     raft::{self, Raft, Save},
     time,
 };
@@ -22,13 +22,13 @@
         let Stage::Seeking(seeker) = &mut self.stage else {
             return;
         };
-        let formation = Formation { at: now.wall + SKEW_MS, by: self.config.me.life };
+        let formation = Formation { at: now.wall + MAX_SKEW_MS, by: self.config.me.incarnation };
         match seeker.next_action(now.mono, formation) {
             form::Action::Wait => {}
             form::Action::Probe => self.probe(),
             form::Action::Ask(formation, seats) => {
                 for seat in &seats {
-                    self.send_form(seat, Form::Ask(formation));
+                    self.send_form(seat, FormMessage::Ask(formation));
                 }
             }
             form::Action::Bootstrap(formation, voters) => {
@@ -46,7 +46,7 @@
 
     /// Starts a group with voters that the caller names. Each of these voters starts the group by
     /// itself, and the voters elect the first leader.
-    pub fn form(&mut self, formation: Formation, voters: Voters, now: u64) {
+    pub fn bootstrap(&mut self, formation: Formation, voters: Voters, now: u64) {
         self.save(Save::Formed(formation, voters.clone()));
         let raft = self.new_raft(raft::Stored { voters, ..raft::Stored::default() }, now);
         self.stage = Stage::Joined(Box::new(Joined { formation, raft, applied: 0, next_probe: 0 }));
@@ -58,7 +58,7 @@
     }
 
     /// Sends a heartbeat immediately if this member leads.
-    pub fn beat(&mut self, now: u64) {
+    pub fn send_heartbeat(&mut self, now: u64) {
         if let Stage::Joined(joined) = &mut self.stage {
             joined.raft.broadcast(now);
             self.process_output(now);
@@ -67,7 +67,7 @@
 
     /// Gives the seats of lost voters to members that hold all committed entries, and adds seats up
     /// to `max_seats`, one committed change at a time (Ongaro 2014, section 4.1).
-    pub fn reseat(&mut self, max_seats: usize, now: u64) {
+    pub fn replace_lost_voters(&mut self, max_seats: usize, now: u64) {
         let Stage::Joined(joined) = &mut self.stage else {
             return;
         };
@@ -102,7 +102,7 @@
         } else {
             return;
         }
-        raft.propose(Load::Voters(next_voters), now);
+        raft.propose(Payload::Voters(next_voters), now);
         self.process_output(now);
     }
 
@@ -142,7 +142,7 @@
         self.pending_sends.clear();
         self.machine.reset();
         self.save(Save::Reset);
-        self.out.lost = true;
+        self.out.left_formation = true;
     }
 
     /// Leaves a formation that can never have a majority again, because too many of its voters
@@ -154,15 +154,15 @@
         let Some(joined) = self.joined() else { return };
         let voters = joined.raft.voters();
         let me = &self.config.me;
-        let own_state = (me.life, Some(joined.formation));
+        let own_state = (me.incarnation, Some(joined.formation));
         let is_alive = |seat: &&name::Member| {
             let state = if seat.name == me.name {
                 Some(&own_state)
             } else {
                 self.peer_states.get(&seat.name)
             };
-            let expected = (seat.life, Some(joined.formation));
-            seat.life != 0 && state.is_none_or(|state| *state == expected)
+            let expected = (seat.incarnation, Some(joined.formation));
+            seat.incarnation != 0 && state.is_none_or(|state| *state == expected)
         };
         let alive = voters.0.iter().filter(is_alive).count();
         if !voters.0.is_empty() && alive < voters.quorum() && !joined.raft.has_leader(now) {
@@ -176,7 +176,7 @@
             Stage::Seeking(seeker) => seeker.on_report(from, None, now),
             Stage::Joined(joined) => joined.raft.add_learner(from, now),
         }
-        self.send_form(&from.name, Form::Found(found));
+        self.send_form(&from.name, FormMessage::Found(found));
     }
 
     pub(crate) fn probe_for_leader(&mut self, now: u64) {
@@ -195,7 +195,7 @@
         let all = self.config.seats.iter().chain(&self.config.others);
         let others: Vec<_> = all.filter(|name| *name != me).cloned().collect();
         for to in &others {
-            self.send_form(to, Form::Probe(found));
+            self.send_form(to, FormMessage::Probe(found));
         }
     }
 
@@ -226,8 +226,8 @@
         };
         let eligible = raft.peers().find_map(eligible);
         if let Some(member) = eligible {
-            let voters = raft.voters().with_life(&member);
-            raft.propose(Load::Voters(voters), now);
+            let voters = raft.voters().with_incarnation(&member);
+            raft.propose(Payload::Voters(voters), now);
         }
     }
 }
--- a/crates/coord/src/waiter.rs
+++ b/crates/coord/src/waiter.rs
@@ -9,7 +9,7 @@
 pub(crate) enum Waiter {
     Ticket(Ticket),
     /// A client that queries or cancels a job; its reply does not count as a submission's outcome.
-    Viewer(Ticket),
+    Query(Ticket),
     /// A peer, with the number of its call.
     Peer(name::Name, u64),
     /// Nothing receives the verdict.
--- a/crates/coord/tests/bodies.rs
+++ b/crates/coord/tests/bodies.rs
@@ -1,12 +1,12 @@
-//! Messages of other instances: any bytes are decoded without a panic, and any that decode are
-//! taken by a core without one.
+//! Messages of other instances: decoding arbitrary bytes does not panic, and neither does handling
+//! any message that decodes.
 
 mod net;
 
 use coord::{
     event::Event,
     machine,
-    message::{Body, Form, Formation, Group, Job, Loan, Raft, Route, Table},
+    message::{Body, FormMessage, Formation, Group, Job, Loan, Raft, Route, Table},
 };
 use net::Net;
 use proptest::prelude::*;
@@ -20,7 +20,7 @@
     let appended =
         Raft::Appended { term: 1, success: true, index: u64::MAX, sent: u64::MAX, stamp: 1 };
     vec![
-        Body::Form(Group::Settings, 3, Form::Ask(formation)),
+        Body::Form(Group::Settings, 3, FormMessage::Ask(formation)),
         Body::Raft(zone.clone(), route, vote),
         Body::Raft(zone.clone(), route, appended),
         Body::Propose(zone, route, "junk".into()),
--- a/crates/coord/tests/net/mod.rs
+++ b/crates/coord/tests/net/mod.rs
@@ -1,4 +1,5 @@
-//! Several cores and the messages between them, without a network or a clock.
+//! Deterministic simulation of several cores and the messages between them, without a network or
+//! a real clock.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -20,7 +21,7 @@
 pub const EPOCH: u64 = 1_800_000_000_000;
 /// The service of all jobs.
 pub const SERVICE: &str = "polish-board";
-/// Shared by all nodes; each runs with its own offset.
+/// Time by which one tick advances the clocks of all instances, microseconds.
 const STEP: u64 = 20_000;
 
 /// One instance: its core while it runs, and its disk.
@@ -34,7 +35,7 @@
     frozen: bool,
 }
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub struct Mail {
     pub from: usize,
@@ -42,7 +43,7 @@
     pub body: Body,
 }
 
-/// Everything.
+/// The simulated instances, the messages in transit and the results so far.
 #[derive(Debug)]
 pub struct Net {
     pub instances: Vec<Instance>,
@@ -70,7 +71,7 @@
 }
 
 impl Net {
-    /// So many instances in zones, the first `disks` of all with disks.
+    /// Creates the given number of instances in each zone; the first `disks` of all have disks.
     pub fn new(zones: &[(&str, usize)], disks: usize) -> Self {
         let mut instances = Vec::new();
         for (zone, count) in zones {
@@ -115,12 +116,12 @@
         net
     }
 
-    /// Both clocks.
+    /// The monotonic and the wall clock time.
     pub fn now(&self) -> Now {
         Now::new(self.now, EPOCH + self.now / 1_000)
     }
 
-    /// Starts an instance from its disk, with a new memory.
+    /// Starts an instance from its disk, without its former state in memory.
     pub fn restart(&mut self, at: usize) {
         if self.nodes[at].core.is_some() {
             return;
@@ -129,10 +130,10 @@
         let node = &self.nodes[at];
         let config = Config {
             me: self.instances[at].clone(),
-            life: self.lives,
+            incarnation: self.lives,
             disk: self.instances[at].disk.then_some(node.disk_life),
             all: self.instances.clone(),
-            trial: boot::Trial::default(),
+            baselines: boot::Baselines::default(),
             seed: self.lives,
         };
         let core = Core::new(config, node.disk.recovered(), self.now());
@@ -141,7 +142,7 @@
         self.note(format!("{} starts", self.instances[at].name));
     }
 
-    /// Ends an instance at once; what was not synced is lost, and so is what it runs.
+    /// Crashes an instance. Its unsynced writes and its running tasks are lost.
     pub fn crash(&mut self, at: usize) {
         if self.nodes[at].core.take().is_some() {
             self.nodes[at].unsaved.clear();
@@ -152,14 +153,14 @@
         }
     }
 
-    /// Stops an instance without its noticing, or lets it go on.
+    /// Freezes an instance, such as in a long scheduling pause, or lets it continue.
     pub fn freeze(&mut self, at: usize, frozen: bool) {
         self.nodes[at].frozen = frozen;
         let what = if frozen { "freezes" } else { "wakes" };
         self.note(format!("{} {what}", self.instances[at].name));
     }
 
-    /// The disk of an instance that does not run is replaced by an empty one.
+    /// Crashes an instance and replaces its disk by an empty one.
     pub fn lose_disk(&mut self, at: usize) {
         self.crash(at);
         self.lives += 1;
@@ -168,7 +169,7 @@
         self.note(format!("{} loses its disk", self.instances[at].name));
     }
 
-    /// Cuts or heals one direction.
+    /// Cuts or heals the link from one instance to another in that direction.
     pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
         if cut {
             self.cuts.insert((from, to));
@@ -185,12 +186,12 @@
         }
     }
 
-    /// Heals everything.
+    /// Heals all links.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    /// Gives an event to an instance and collects its effects.
+    /// Passes an event to an instance and processes its outputs.
     pub fn event(&mut self, at: usize, event: Event) {
         let now = self.now();
         if self.nodes[at].frozen {
@@ -234,7 +235,7 @@
                 assert!(version >= self.nodes[at].version, "the settings went back");
                 self.nodes[at].version = version;
             }
-            Output::Over(..) => {}
+            Output::ExcessLatency(..) => {}
             Output::Drained => self.note(format!("{} is drained", self.instances[at].name)),
         }
     }
@@ -251,7 +252,7 @@
                 self.note(format!("{who} answers change: {outcome:?}"));
                 self.outcome(change, outcome);
             }
-            (Some(Ticket::Change(_)), Reply::Untold(_)) => {
+            (Some(Ticket::Change(_)), Reply::Unknown(_)) => {
                 self.note(format!("{who} answers change: unknown"));
             }
             _ => {}
@@ -278,7 +279,7 @@
         self.next
     }
 
-    /// Submits a job of so many tasks.
+    /// Submits a job with this number of tasks.
     pub fn submit(&mut self, at: usize, job: &id::JobId, tasks: usize, left_ms: u64) {
         let ticket = self.ticket(Ticket::Job(job.to_string()));
         self.event(at, Event::Submit(ticket, spec(job, tasks, left_ms)));
@@ -293,7 +294,7 @@
         self.event(at, Event::Change(ticket, tree::Change { change, base, path, values }));
     }
 
-    /// An upstream announces itself.
+    /// Announces an upstream at an instance.
     pub fn announce(&mut self, at: usize, upstream: &str, slots: u32) {
         let ticket = self.ticket(Ticket::Other);
         let info = upstream::Upstream {
@@ -303,8 +304,8 @@
             address: name::Name::new("127.0.0.1:1"),
             slots,
             phase: upstream::Phase::Serving,
-            room: None,
-            stamp: 0,
+            capacity: None,
+            sequence: 0,
         };
         self.event(at, Event::Announce(ticket, info));
     }
@@ -314,7 +315,7 @@
         if self.running.is_empty() {
             return;
         }
-        // The answer of a frozen instance's task waits until it wakes.
+        // A frozen instance processes the answers of its tasks only after it continues.
         if self.nodes[self.running[at % self.running.len()].0].frozen {
             return;
         }
@@ -322,14 +323,14 @@
         self.end(run, ok);
     }
 
-    /// Answers every running task, and those that start in the place of them.
+    /// Answers all running tasks, including those that start as a result.
     pub fn finish_all(&mut self) {
         while !self.running.is_empty() {
             self.finish(0, true);
         }
     }
 
-    /// All instances die at the same moment and start again.
+    /// Crashes all instances at the same time and restarts them.
     pub fn restart_all(&mut self) {
         for at in 0..self.nodes.len() {
             self.crash(at);
@@ -353,7 +354,7 @@
         self.event(owner, Event::Done(done));
     }
 
-    /// Delivers the message at this position; it is lost if the way is cut.
+    /// Delivers the message at this position, or drops it if the link is cut.
     pub fn deliver(&mut self, at: usize) {
         let mail = self.mail.remove(at % self.mail.len());
         if !self.cuts.contains(&(mail.from, mail.to)) {
@@ -378,7 +379,7 @@
         self.event(at, Event::Saved(last));
     }
 
-    /// Lets time pass without delivering anything.
+    /// Advances the time without delivering messages.
     pub fn tick(&mut self) {
         self.now += STEP;
         for at in 0..self.nodes.len() {
@@ -393,7 +394,7 @@
         }
     }
 
-    /// Lets time pass while everything is delivered and synced in order.
+    /// Advances the time; messages are delivered and disks synced in order.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + ms * 1_000;
         while self.now < until {
@@ -402,7 +403,7 @@
         }
     }
 
-    /// Delivers and syncs everything there is.
+    /// Delivers all messages and syncs all disks until none are left.
     pub fn settle(&mut self) {
         const MOST: usize = 20_000;
         let mut count = 0;
@@ -433,7 +434,7 @@
         }
     }
 
-    /// Every group as every instance sees it.
+    /// The state of each group as reported by each instance.
     pub fn groups(&self) -> String {
         let now = self.now();
         let cores = self.nodes.iter().filter_map(|node| node.core.as_ref());
@@ -455,7 +456,7 @@
         mint(zone, self.now().wall, self.next)
     }
 
-    /// Judges what must always hold at every moment.
+    /// Asserts the invariants that hold at any time.
     pub fn judge(&self) {
         let twice: Vec<_> = self.starts.iter().filter(|(_, who)| who.len() > 1).collect();
         assert!(twice.is_empty(), "started twice: {twice:?}");
@@ -472,8 +473,8 @@
             let both = states.contains("complete") && states.contains("failed");
             assert!(!both, "{job} was complete and failed: {:#?}", self.log);
             let ran = self.starts.keys().any(|task| task.starts_with(&format!("{job}/")));
-            // "Not run" speaks of one attempt: another one, elsewhere, may be under way, or may
-            // have been lost with its instance.
+            // "Not run" refers to one submission. Another submission of the same job may be in
+            // progress at another instance, or may have been lost with its instance.
             let open = |ticket: &Ticket| matches!(ticket, Ticket::Job(other) if other == job);
             let all_ended = !self.tickets.values().any(open);
             let lied = ran && all_ended && states.len() == 1 && states.contains("not run");
@@ -481,7 +482,8 @@
         }
     }
 
-    /// Judges, once everything is healed and quiet, that no accepted change is lost.
+    /// Asserts that no accepted change is lost, once all links are healed and no message is in
+    /// transit.
     pub fn judge_settings(&self) {
         for (change, version) in &self.accepted {
             for node in self.nodes.iter().filter_map(|node| node.core.as_ref()) {
@@ -513,13 +515,13 @@
     }
 }
 
-/// A job id minted at `wall`.
+/// A job id created at `wall`.
 pub fn mint(zone: &str, wall: u64, number: u64) -> id::JobId {
     let value = (u128::from(wall) << 80) | (7 << 76) | (2 << 62) | u128::from(number);
     id::JobId::new(&name::Name::new(zone), uuid::Uuid::from_u128(value))
 }
 
-/// The state that a verdict tells.
+/// The job state that a verdict reports.
 pub fn kind(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Complete(_) => "complete",
--- a/crates/coord/tests/queues.rs
+++ b/crates/coord/tests/queues.rs
@@ -1,4 +1,4 @@
-//! The queue of a service, retry budgets, answers kept, seats.
+//! The queue of a service, retry budgets, the answer cache, and seats.
 
 use std::collections;
 
@@ -32,7 +32,7 @@
     }
     // The quiet team's ten tasks are among the next twenty or so.
     let next: Vec<_> = (0..21).filter_map(|_| queue.pop()).collect();
-    let served = next.iter().filter(|t| t.job.minted() >= 2_000).count();
+    let served = next.iter().filter(|t| t.job.created_ms() >= 2_000).count();
     assert_eq!(served, 10);
 }
 
@@ -43,7 +43,7 @@
         queue.push(None, deadline, task(number));
     }
     assert!(queue.remove(&task(2)) && !queue.remove(&task(2)));
-    let order: Vec<_> = std::iter::from_fn(|| queue.pop()).map(|t| t.job.minted()).collect();
+    let order: Vec<_> = std::iter::from_fn(|| queue.pop()).map(|t| t.job.created_ms()).collect();
     assert_eq!(order, [1, 4, 3]);
 }
 
@@ -122,7 +122,7 @@
         ..ProptestConfig::with_cases(256)
     })]
 
-    /// A team that always has work is never more than one start behind another such team.
+    /// Among teams that always have work, the numbers of started tasks differ by at most one.
     #[test]
     fn fair_shares(counts in prop::collection::vec(20..60_usize, 2..6), pops in 10..80_usize) {
         let mut queue = Queue::new();
@@ -137,7 +137,7 @@
         let mut served = vec![0_usize; counts.len()];
         for _ in 0..pops.min(20 * counts.len()) {
             let task = queue.pop().unwrap();
-            served[(task.job.minted() >> 20) as usize] += 1;
+            served[(task.job.created_ms() >> 20) as usize] += 1;
         }
         let (least, most) = (served.iter().min().unwrap(), served.iter().max().unwrap());
         prop_assert!(most - least <= 1, "{served:?}");
--- a/crates/coord/tests/random_faults.rs
+++ b/crates/coord/tests/random_faults.rs
@@ -1,5 +1,5 @@
-//! Random faults on the pure core: messages reordered, lost, doubled and late, crashes, freezes,
-//! lost disks and cuts between any two steps.
+//! Random faults in simulated instances: reordered, lost, duplicated and delayed messages, and
+//! crashes, freezes, lost disks and network partitions between any two steps.
 
 mod net;
 
@@ -48,7 +48,7 @@
 }
 
 fn config() -> test_runner::Config {
-    // A fixed seed, so that CI gives the same verdict every time; FAULT_SEED looks further.
+    // A fixed seed, so that CI results are reproducible; FAULT_SEED selects another one.
     let seed = std::env::var("FAULT_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(7);
     let cases = std::env::var("FAULT_CASES").ok().and_then(|cases| cases.parse().ok());
     test_runner::Config {
@@ -69,7 +69,7 @@
     let jobs: Vec<_> = (0..6).map(|_| net.mint("west")).collect();
     let mut lost = 0;
     for step in steps {
-        // Upstreams announce themselves again and again, wherever they can.
+        // The upstream repeats its announcement at every instance.
         for at in 0..count {
             net.announce(at, "u1", 4);
         }
@@ -124,14 +124,15 @@
     finish(&mut net, count);
 }
 
-/// Heals everything; whatever was accepted must be there, and jobs run again.
+/// Heals all links and restarts all instances. Accepted changes must be present, and new jobs
+/// must run.
 fn finish(net: &mut Net, count: usize) {
     net.heal();
     for at in 0..count {
         net.freeze(at, false);
         net.restart(at);
     }
-    // Longer than it takes to take back slots whose grant was lost.
+    // Longer than the time after which slots whose grant was lost are reclaimed.
     net.run(11_000);
     net.run_until_ready(9_000);
     net.judge();
@@ -162,8 +163,8 @@
     }
 }
 
-/// Steps that failed once: a refused pre-vote raised the term of the candidate behind, so that
-/// the one ahead never won its own term.
+/// Guards against a refused pre-vote raising the term of a candidate whose log is behind, so that
+/// the candidate with the longer log never wins an election.
 #[test]
 fn behind_and_ahead() {
     let steps = [
@@ -191,7 +192,7 @@
     play(&[("west", 2), ("mid", 2), ("east", 1)], &steps);
 }
 
-/// Steps that failed once: a loan to the former life of an instance outlived it.
+/// Guards against a loan that stays valid after the borrowing incarnation of an instance is gone.
 #[test]
 fn former_loan() {
     use Step::{Crash, Cut, Deliver, Finish, Restart, Run, Submit, Tick};
@@ -223,8 +224,8 @@
         ],
     );
 }
-/// Steps that failed once: a submission forwarded to two instances was said not to have run,
-/// because the second one refused it.
+/// Guards against a submission that was forwarded to two instances being reported as not run
+/// because the second instance refused it.
 #[test]
 fn forwarded_twice() {
     use Step::{Crash, Deliver, Run, Submit, Tick};
--- a/crates/coord/tests/restarts.rs
+++ b/crates/coord/tests/restarts.rs
@@ -1,12 +1,12 @@
-//! An instance that dies and starts again and again finds its way back each time.
+//! An instance that crashes and restarts repeatedly becomes ready again each time.
 
 mod net;
 
 use net::{Net, SERVICE};
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 
-/// Plays one seed: the first instance dies around an admission, at any moment of the exchange, and
-/// starts again while the others are in any state; it has to be ready within 5 s each time.
+/// Runs one seed: the first instance crashes at a random point of the admission of a job and
+/// restarts after a random time. It has to be ready within 5 s each time.
 fn play(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut net = Net::new(&[("west", 3)], 3);
@@ -25,7 +25,7 @@
             }
         }
         net.crash(0);
-        // From at once to beyond the time after which the others expel it.
+        // From 0 to more than the time after which the others expel the instance.
         net.run(rng.random_range(0..100) * rng.random_range(1..40));
         net.submit(1, &id, 4, 10_000);
         net.run(rng.random_range(0..40));
@@ -37,7 +37,7 @@
 
 #[test]
 fn ready_again() {
-    // A fixed range, so that CI gives the same verdict every time; RESTART_SEEDS=A..B looks further.
+    // A fixed range, so that CI results are reproducible; RESTART_SEEDS=A..B selects another one.
     let range = std::env::var("RESTART_SEEDS").unwrap_or_else(|_| "0..60".to_owned());
     let (from, to) = range.split_once("..").expect("RESTART_SEEDS is A..B");
     for seed in from.parse().expect("a number")..to.parse().expect("a number") {
--- a/crates/coord/tests/sessions.rs
+++ b/crates/coord/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Whole sessions of the pure core, as golden files.
+//! Runs of whole scenarios on simulated instances, compared with golden files.
 
 mod net;
 
@@ -48,7 +48,7 @@
     net.submit(1, &job, 12, 8_000);
     net.run(3_000);
     net.freeze(0, false);
-    // The answers of its tasks arrive; it starts nothing more, and is let in again.
+    // The answers of its tasks arrive. It starts no further task and is admitted again.
     net.finish_all();
     net.run(1_000);
     golden("owner_frozen", &net);
@@ -66,7 +66,7 @@
     net.isolate(leader, true);
     net.submit(leader, &job, 2, 8_000);
     net.run(1_000);
-    // The same submission where the majority is.
+    // The same submission at an instance of the majority.
     net.submit((leader + 1) % 3, &job, 2, 8_000);
     net.run(1_000);
     net.finish_all();
@@ -95,7 +95,8 @@
 #[test]
 fn operators_race() {
     let mut net = zone();
-    // Equal versions at different instances, then a leader that dies before it answers.
+    // Changes with the same base version at different instances, then a leader that crashes before
+    // it answers.
     net.change(0, 11, Some(1), "ireland");
     net.change(1, 12, Some(1), "ireland");
     net.change(2, 13, Some(1), "ireland");
@@ -121,7 +122,7 @@
     net.run(500);
     net.restart(1);
     net.run(3_000);
-    // Right after the repair the next voter goes, disk and all.
+    // Immediately after the repair, the next voter loses its disk.
     net.lose_disk(2);
     net.change(1, 22, None, "ireland");
     net.run(4_000);
@@ -134,7 +135,8 @@
 #[test]
 fn unsynced_change() {
     let mut net = zone();
-    // Messages flow, disks are slow: nothing is acknowledged, and all lose power.
+    // Messages are delivered but disks do not sync: the change is not acknowledged. Then all
+    // instances crash.
     net.change(0, 31, None, "ireland");
     for _ in 0..20 {
         net.tick();
@@ -147,7 +149,7 @@
     net.run(4_000);
     net.run_until_ready(4_000);
     net.judge_settings();
-    // With two of three synced it is.
+    // With two of three disks synced, the change is acknowledged.
     net.change(0, 32, None, "ireland");
     for _ in 0..20 {
         net.tick();
@@ -175,7 +177,7 @@
     net.run(400);
     let job = net.mint("west");
     net.submit(2, &job, 1, 8_000);
-    // The submission is late on its way to west-1; west-2, asked next, shuts down and refuses it.
+    // The submission to west-1 is delayed. West-2, tried next, is draining and refuses it.
     let late = net.mail.iter().position(|mail| matches!(mail.body, Body::Job(Job::Forward { .. })));
     let late = net.mail.remove(late.unwrap());
     assert_eq!(net.instances[late.to].name.as_str(), "west-1");
@@ -213,14 +215,14 @@
     net.run(100);
     net.finish(0, true);
     net.isolate(0, true);
-    // The other two lose their memory and form the zone's journal anew.
+    // The other two restart without state and form a new journal of the zone.
     for at in [1, 2] {
         net.crash(at);
         net.restart(at);
     }
     net.run(4_000);
     net.heal();
-    // The third one hears of it from the new leader only.
+    // Only consensus messages of the new leader, no formation messages, reach the third instance.
     for _ in 0..200 {
         net.tick();
         net.mail.retain(|mail| mail.to != 0 || !matches!(mail.body, Body::Form(..)));
--- a/crates/coord/tests/slots.rs
+++ b/crates/coord/tests/slots.rs
@@ -3,7 +3,7 @@
 use std::collections;
 
 use coord::{
-    fleet::{End, Fleet, Reach},
+    fleet::{Availability, End, Fleet},
     share,
 };
 use proptest::prelude::*;
@@ -19,13 +19,13 @@
         address: Name::new("127.0.0.1:1"),
         slots,
         phase: upstream::Phase::Serving,
-        room: None,
-        stamp: 1,
+        capacity: None,
+        sequence: 1,
     }
 }
 
 fn fleet(rank: u32, count: u32, upstreams: usize, slots: u32) -> Fleet {
-    let mut fleet = Fleet::new(boot::Trial::default(), 1);
+    let mut fleet = Fleet::new(boot::Baselines::default(), 1);
     for number in 0..upstreams {
         fleet.put(upstream(&format!("u{number}"), slots), 100 * SECOND);
     }
@@ -41,8 +41,8 @@
 
 #[test]
 fn black_hole() {
-    // One upstream fails all it starts and looks idle and fast: it is ejected, comes back by one
-    // task at a time, and never takes the others with it.
+    // An upstream that fails every task immediately looks idle and fast. It is ejected, gets one
+    // task at a time afterwards, and does not cause the ejection of the others.
     let mut fleet = fleet(0, 1, 4, 8);
     let mut hits = 0;
     for step in 0..1_000_u64 {
@@ -90,27 +90,32 @@
 fn reach_ranks() {
     let needs = |cores| upstream::Needs { cores, ..upstream::Needs::default() };
     let room = upstream::Needs { cores: 2.0, memory_mb: 100, accelerators: 0 };
-    let mut fleet = Fleet::new(boot::Trial::default(), 1);
+    let mut fleet = Fleet::new(boot::Baselines::default(), 1);
     let service = Name::new("a");
-    assert_eq!(fleet.reach(&service, &needs(1.0), 0), Reach::Nobody);
-    let small = upstream::Upstream { room: Some(room), ..upstream("u0", 1) };
+    assert_eq!(fleet.availability(&service, &needs(1.0), 0), Availability::NoUpstream);
+    let small = upstream::Upstream { capacity: Some(room), ..upstream("u0", 1) };
     fleet.put(small, SECOND);
-    let cases = [(1.0, 0, Reach::Open), (1.0, 2 * SECOND, Reach::Closed), (4.0, 0, Reach::Unfit)];
+    let cases = [
+        (1.0, 0, Availability::Open),
+        (1.0, 2 * SECOND, Availability::Closed),
+        (4.0, 0, Availability::Unfit),
+    ];
     for (cores, now, expected) in cases {
-        assert_eq!(fleet.reach(&service, &needs(cores), now), expected, "{cores} {now}");
+        assert_eq!(fleet.availability(&service, &needs(cores), now), expected, "{cores} {now}");
     }
 }
 
 #[test]
 fn older_news() {
     let mut fleet = fleet(0, 1, 1, 8);
-    let gone = upstream::Upstream { phase: upstream::Phase::Gone, stamp: 9, ..upstream("u0", 8) };
+    let gone =
+        upstream::Upstream { phase: upstream::Phase::Gone, sequence: 9, ..upstream("u0", 8) };
     assert!(fleet.put(gone, 200 * SECOND));
-    assert!(!fleet.put(upstream::Upstream { stamp: 8, ..upstream("u0", 8) }, 300 * SECOND));
+    assert!(!fleet.put(upstream::Upstream { sequence: 8, ..upstream("u0", 8) }, 300 * SECOND));
     assert_eq!(pick(&mut fleet, SECOND), None);
 }
 
-/// What happens between instances that share one upstream.
+/// A step of a simulation of instances that share one upstream.
 #[derive(Clone, Debug)]
 enum Step {
     Start(usize),
@@ -139,7 +144,7 @@
         ..ProptestConfig::with_cases(256)
     })]
 
-    /// In one membership the shares add up to the slots exactly.
+    /// For a fixed membership, the shares add up to exactly the slots.
     #[test]
     fn shares_add_up(slots in 1..300_u32, count in 1..12_u32, number in 0..1000_u32) {
         let name = format!("u{number}");
@@ -147,7 +152,7 @@
         prop_assert_eq!(sum, slots);
     }
 
-    /// No slot is used twice, whatever is lent, returned or expires.
+    /// No slot is used twice, whichever loans are made, returned or expire.
     #[test]
     fn used_once(slots in 3..12_u32, steps in prop::collection::vec(step(), 1..80)) {
         let names = [Name::new("i0"), Name::new("i1"), Name::new("i2")];
@@ -166,21 +171,21 @@
                 Step::Finish(_) => {}
                 Step::Ask(a, b, _) if a == b => {}
                 Step::Ask(to, by, count) => {
-                    let held = fleets[to].held(&names[by], &service);
+                    let held = fleets[to].borrowed_from(&names[by], &service);
                     fleets[by].settle_loans(&names[to], &service, held);
                     let lent = fleets[by].lend(&names[to], &service, count, now);
                     fleets[to].borrow(&names[by], &lent, now);
                 }
                 Step::Return(at) => {
-                    for (to, list) in fleets[at].give_back() {
+                    for (to, list) in fleets[at].return_idle() {
                         let to = names.iter().position(|name| *name == to).unwrap();
-                        fleets[to].returned(&names[at], &list);
+                        fleets[to].take_back(&names[at], &list);
                     }
                 }
                 Step::Wait(time) => {
                     now += time;
-                    // A task that outlasts its loan keeps the slot busy beyond it: the upstream
-                    // itself refuses the one too many.
+                    // A task that runs longer than its loan still occupies the slot. The upstream
+                    // itself refuses a task in excess of its slots.
                     late |= out.iter().sum::<u32>() > 0;
                     for fleet in &mut fleets {
                         fleet.prune(now);
@@ -199,7 +204,7 @@
     }
 }
 
-/// Loads even out over upstreams of the same speed.
+/// Upstreams of the same speed get the same load.
 #[test]
 fn even_load() {
     let mut fleet = fleet(0, 1, 10, 8);
--- a/crates/dispatch/src/control_log.rs
+++ b/crates/dispatch/src/control_log.rs
@@ -218,7 +218,7 @@
             others: Vec::new(),
             timing: TIMING,
             durable: true,
-            named: true,
+            static_voters: true,
             compact_every: COMPACT_EVERY,
             kept_entries: KEPT_ENTRIES,
         };
@@ -230,7 +230,7 @@
         {
             let member = |name| name::Member::new(name, FIRST_INCARNATION);
             let voters = entry::Voters(founders.iter().map(member).collect());
-            group.form(FIRST_FORMATION, voters, now);
+            group.bootstrap(FIRST_FORMATION, voters, now);
         }
         Self {
             group,
@@ -243,7 +243,7 @@
 
     /// Takes the effects collected so far.
     pub fn take(&mut self) -> Output {
-        let group = self.group.take();
+        let group = self.group.take_output();
         let sends = group.sends.into_iter().map(|(to, body)| (to, Body::Agree(Box::new(body))));
         self.out.sends.extend(sends);
         self.out.saves.extend(group.saves);
@@ -342,8 +342,8 @@
     /// Handles a message of the group.
     pub fn on_group_message(&mut self, from: &name::Name, body: agree::Body, now: time::Now) {
         match body {
-            agree::Body::Form(_, life, form) => {
-                self.group.on_form(&name::Member::new(from, life), &form, now);
+            agree::Body::Form(_, incarnation, form) => {
+                self.group.on_form(&name::Member::new(from, incarnation), &form, now);
             }
             agree::Body::Raft(_, route, body) => {
                 self.group.on_raft(from, route, body, now.mono);
@@ -358,19 +358,19 @@
 
     /// Handles that the changes up to this number are on disk.
     pub fn saved(&mut self, number: u64, now: u64) {
-        self.group.saved(number, now);
+        self.group.on_saved(number, now);
         self.answer_queries(now);
     }
 
-    /// Gives up leadership.
-    pub fn hand_over(&mut self, now: u64) {
-        self.group.hand_over(now);
+    /// Transfers leadership to another member if this one leads.
+    pub fn transfer_leadership(&mut self, now: u64) {
+        self.group.transfer_leadership(now);
     }
 
     /// Runs the periodic work that is due at `now`.
     pub fn tick(&mut self, now: time::Now) {
         self.group.tick(now);
-        self.group.reseat(MAX_VOTERS, now.mono);
+        self.group.replace_lost_voters(MAX_VOTERS, now.mono);
         self.propose_due(now.mono);
         self.answer_queries(now.mono);
         let expired = self.queries.iter().filter(|(_, query)| now.mono >= query.deadline);
@@ -413,7 +413,7 @@
             Query { requester, asked_at: now, deadline: now + REPLY_TIMEOUT, min_version: None };
         self.queries.insert(number, query);
         if self.group.is_leader() {
-            self.group.beat(now);
+            self.group.send_heartbeat(now);
         } else if let Some(leader) = self.group.raft().and_then(raft::Raft::leader) {
             self.out.sends.push((leader.name.clone(), Body::Confirm(number)));
         }
--- a/crates/dispatch/src/core.rs
+++ b/crates/dispatch/src/core.rs
@@ -370,7 +370,7 @@
     pub(crate) fn drain(&mut self, now: Now) {
         self.draining = true;
         if let Some(control_log) = &mut self.control_log {
-            control_log.hand_over(now.mono);
+            control_log.transfer_leadership(now.mono);
         }
         self.send_heartbeats_to_all(now);
     }
--- a/crates/proto/src/json.rs
+++ b/crates/proto/src/json.rs
@@ -97,7 +97,7 @@
 /// ```
 pub fn check_service(path: &str) -> Result<(), error::Error> {
     let problem =
-        if path.is_empty() { Some("the path is empty") } else { state::tree::path_fault(path) };
+        if path.is_empty() { Some("the path is empty") } else { state::tree::path_error(path) };
     problem.map_or(Ok(()), |reason| Err(error::Error::new("read service", reason)))
 }
 
@@ -254,7 +254,7 @@
     pub fn upstream(&self) -> upstream::Upstream {
         let declared =
             self.cores.is_some() || self.memory_mb.is_some() || self.accelerators.is_some();
-        let room = upstream::Needs {
+        let capacity = upstream::Needs {
             cores: self.cores.unwrap_or(f64::MAX),
             memory_mb: self.memory_mb.unwrap_or(u64::MAX),
             accelerators: self.accelerators.unwrap_or(0),
@@ -269,8 +269,8 @@
                 Phase::Serving => upstream::Phase::Serving,
                 Phase::Leaving => upstream::Phase::Leaving,
             },
-            room: declared.then_some(room),
-            stamp: 0,
+            capacity: declared.then_some(capacity),
+            sequence: 0,
         }
     }
 }
--- a/crates/proto/tests/border.rs
+++ b/crates/proto/tests/border.rs
@@ -23,7 +23,7 @@
     let job = json::Job::parse(JOB.as_bytes()).unwrap();
     assert_eq!(job.tasks[0].payload.get(), r#"{"x": [1, null]}"#);
     assert_eq!(job.id().unwrap().to_string(), job.job);
-    assert!(json::Announce::parse(ANNOUNCE.as_bytes()).unwrap().upstream().room.is_some());
+    assert!(json::Announce::parse(ANNOUNCE.as_bytes()).unwrap().upstream().capacity.is_some());
     assert_eq!(json::Change::parse(CHANGE.as_bytes()).unwrap().base, Some(4));
 }
 
@@ -56,7 +56,7 @@
     #[test]
     fn any_change(at in 0..400_usize, cut in 0..20_usize, insert in prop::collection::vec(any::<u8>(), 0..8)) {
         if let Ok(change) = json::Change::parse(&splice(CHANGE, at, cut, &insert)) {
-            drop(state::tree::value_faults(&change.values));
+            drop(state::tree::value_errors(&change.values));
         }
     }
 
--- a/crates/state/src/boot.rs
+++ b/crates/state/src/boot.rs
@@ -35,8 +35,8 @@
     pub traces: Traces,
     /// Maximum duration of a graceful shutdown, in milliseconds.
     pub drain_ms: u64,
-    /// Algorithms that a trial replaces by a baseline.
-    pub trial: Trial,
+    /// Algorithms that the key `trial` of the file can replace by baselines.
+    pub baselines: Baselines,
 }
 
 /// Another instance.
@@ -103,10 +103,10 @@
     RoundRobin,
 }
 
-/// Algorithms that a trial can replace by a baseline.
+/// Algorithms that a benchmark can replace by baselines. The default replaces none.
 #[expect(clippy::struct_excessive_bools, reason = "each one is a key of the file")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Trial {
+pub struct Baselines {
     /// Load-balancing algorithm for the choice of an upstream.
     pub placement: Placement,
     /// Whether the instances of a zone divide the slots among themselves.
@@ -119,7 +119,7 @@
     pub eject: bool,
 }
 
-impl Default for Trial {
+impl Default for Baselines {
     fn default() -> Self {
         let placement = Placement::default();
         Self { placement, shares: true, borrow: true, limits: true, eject: true }
@@ -162,7 +162,8 @@
         let log = map.remove("log").map_or_else(Log::default, |value| self.log(&value));
         let traces = map.remove("traces").map_or_else(Traces::default, |value| self.traces(&value));
         let drain = map.remove("drain_ms").and_then(|value| self.unsigned(&value));
-        let trial = map.remove("trial").map_or_else(Trial::default, |value| self.trial(&value));
+        let baselines =
+            map.remove("trial").map_or_else(Baselines::default, |value| self.baselines(&value));
         self.reject_unknown(map);
         Some(Boot {
             instance: instance?,
@@ -175,7 +176,7 @@
             log,
             traces,
             drain_ms: drain.unwrap_or(DRAIN_MS),
-            trial,
+            baselines,
         })
     }
 
@@ -244,18 +245,18 @@
         Traces { file, otlp }
     }
 
-    fn trial(&mut self, value: &Located<'_>) -> Trial {
+    fn baselines(&mut self, value: &Located<'_>) -> Baselines {
         const PLACEMENTS: &[(&str, Placement)] = &[
             ("least_work", Placement::LeastWork),
             ("two_choices", Placement::TwoChoices),
             ("round_robin", Placement::RoundRobin),
         ];
         let Some(mut map) = self.object(value) else {
-            return Trial::default();
+            return Baselines::default();
         };
         let placement = map.remove("placement").and_then(|value| self.one_of(&value, PLACEMENTS));
         let mut flag = |key| map.remove(key).and_then(|value| self.boolean(&value)).unwrap_or(true);
-        let trial = Trial {
+        let baselines = Baselines {
             placement: placement.unwrap_or_default(),
             shares: flag("shares"),
             borrow: flag("borrow"),
@@ -263,6 +264,6 @@
             eject: flag("eject"),
         };
         self.reject_unknown(map);
-        trial
+        baselines
     }
 }
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder.rs
@@ -41,22 +41,22 @@
 #[derive(Debug, Default)]
 pub struct Loaded {
     /// Incarnation number stored in the folder.
-    pub life: u64,
+    pub incarnation: u64,
     /// The last snapshot, if one was written.
     pub snapshot: Option<Vec<u8>>,
     /// Log records written after the snapshot.
     pub records: Vec<Vec<u8>>,
     /// Number of bytes of an incomplete write that were truncated from the log.
-    pub torn: u64,
+    pub truncated_bytes: u64,
     /// The last hints, if the folder has valid ones.
     pub hints: Option<Vec<u8>>,
     /// Error on reading the hints file, if it exists but cannot be read.
-    pub fault: Option<error::Error>,
+    pub hints_error: Option<error::Error>,
 }
 
 impl Folder {
     /// Opens the data folder of `instance`. A folder without an identity is initialized with
-    /// incarnation `life`.
+    /// incarnation number `incarnation`.
     ///
     /// # Errors
     ///
@@ -66,33 +66,33 @@
     /// ```
     /// let dir = tempfile::tempdir().unwrap();
     /// let (folder, loaded) = state::folder::Folder::open(dir.path(), &"west-1".into(), 7).unwrap();
-    /// assert_eq!(loaded.life, 7);
+    /// assert_eq!(loaded.incarnation, 7);
     /// drop(folder);
     /// assert!(state::folder::Folder::open(dir.path(), &"west-2".into(), 8).is_err());
     /// ```
     pub fn open(
         path: &path::Path,
         instance: &name::Name,
-        life: u64,
+        incarnation: u64,
     ) -> Result<(Self, Loaded), error::Error> {
         fs::create_dir_all(path).map_err(|e| error::Error::io("create data folder", e))?;
         let lock = acquire_lock(path)?;
-        let identity = load_identity(path, instance, life)?;
+        let identity = load_identity(path, instance, incarnation)?;
         let snapshot = read_snapshot(&path.join(SNAPSHOT))?;
         let generation = snapshot.as_ref().map_or(0, |snapshot| snapshot.generation);
         let (wal, replay) = wal::Wal::open(&log_path(path, generation))?;
         sync_folder(path)?;
-        let (hints, fault) = match read_checksummed(&path.join(HINTS)) {
+        let (hints, hints_error) = match read_checksummed(&path.join(HINTS)) {
             Ok(hints) => (hints, None),
             Err(e) => (None, Some(e)),
         };
         let loaded = Loaded {
-            life: identity.life,
+            incarnation: identity.life,
             snapshot: snapshot.map(|snapshot| snapshot.state),
             records: replay.records,
-            torn: replay.torn,
+            truncated_bytes: replay.truncated_bytes,
             hints,
-            fault,
+            hints_error,
         };
         Ok((Self { path: path.to_owned(), wal, generation, _lock: lock }, loaded))
     }
@@ -184,11 +184,11 @@
 fn load_identity(
     folder: &path::Path,
     instance: &name::Name,
-    life: u64,
+    incarnation: u64,
 ) -> Result<Identity, error::Error> {
     const STEP: &str = "read identity";
     let path = folder.join(IDENTITY);
-    let fresh = Identity { version: VERSION, instance: instance.clone(), life };
+    let fresh = Identity { version: VERSION, instance: instance.clone(), life: incarnation };
     if !path.exists() {
         let text = serde_json::to_vec(&fresh).unwrap_or_default();
         write_atomic(folder, IDENTITY, &text)?;
--- a/crates/state/src/id.rs
+++ b/crates/state/src/id.rs
@@ -22,7 +22,7 @@
     }
 
     /// Generates a new id for `zone` with the current wall clock time.
-    pub fn mint(zone: &name::Name) -> Self {
+    pub fn generate(zone: &name::Name) -> Self {
         Self::new(zone, uuid::Uuid::now_v7())
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// Returns the creation time of the id, in milliseconds since the Unix epoch.
-    pub fn minted(&self) -> u64 {
+    pub fn created_ms(&self) -> u64 {
         self.uuid.as_u128().wrapping_shr(80) as u64
     }
 }
@@ -91,6 +91,6 @@
 }
 
 /// Returns a 32-bit XXH3 hash of a name, for messages that repeat the name often.
-pub fn short(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,7 +1,7 @@
 //! State of an instance: names and ids, bootstrap files, the settings tree, the journal's job
 //! table, the table of upstreams, and the write-ahead log that stores the settings tree.
 //!
-//! Except for [`JobId::mint`], which reads the wall clock, this crate opens no socket, reads no
+//! Except for [`JobId::generate`], which reads the wall clock, this crate opens no socket, reads no
 //! clock and starts no thread. Only [`folder`] and [`wal`] do I/O; they own the files of one data
 //! folder.
 //!
--- a/crates/state/src/locate.rs
+++ b/crates/state/src/locate.rs
@@ -12,12 +12,12 @@
     /// JSON path, such as `$.peers[0].disk`.
     pub path: String,
     /// Reason of the error.
-    pub why: String,
+    pub reason: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} (line {}): {}", self.path, self.line, self.why)
+        write!(f, "{} (line {}): {}", self.path, self.line, self.reason)
     }
 }
 
@@ -43,13 +43,13 @@
     pub fn parse(text: &'a str) -> Result<Self, Fault> {
         match serde_json::from_str(text) {
             Ok(raw) => Ok(Self { text, raw, path: "$".to_owned() }),
-            Err(e) => Err(Fault { line: e.line(), path: "$".to_owned(), why: e.to_string() }),
+            Err(e) => Err(Fault { line: e.line(), path: "$".to_owned(), reason: e.to_string() }),
         }
     }
 
     /// Creates an error located at this value.
-    pub fn fault(&self, why: impl Into<String>) -> Fault {
-        Fault { line: self.line(), path: self.path.clone(), why: why.into() }
+    pub fn fault(&self, reason: impl Into<String>) -> Fault {
+        Fault { line: self.line(), path: self.path.clone(), reason: reason.into() }
     }
 
     /// Returns the value.
--- a/crates/state/src/name.rs
+++ b/crates/state/src/name.rs
@@ -63,24 +63,24 @@
     /// Name of the instance.
     pub name: Name,
     /// Incarnation number; 0 means that no incarnation of the instance is known yet.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl Member {
     /// Creates a member with the given incarnation number.
-    pub fn new(name: &Name, life: u64) -> Self {
-        Self { name: name.clone(), life }
+    pub fn new(name: &Name, incarnation: u64) -> Self {
+        Self { name: name.clone(), incarnation }
     }
 }
 
 impl fmt::Debug for Member {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}#{}", self.name, self.life)
+        write!(f, "{}#{}", self.name, self.incarnation)
     }
 }
 
 impl fmt::Display for Member {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}#{}", self.name, self.life)
+        write!(f, "{}#{}", self.name, self.incarnation)
     }
 }
--- a/crates/state/src/node.rs
+++ b/crates/state/src/node.rs
@@ -62,7 +62,7 @@
     /// Time from SIGTERM to the forced end, in milliseconds.
     pub grace_ms: u64,
     /// CPU allowance of the instance, in millicores.
-    pub cores: u64,
+    pub millicores: u64,
     /// Enabled scheduling features.
     pub policy: policy::Policy,
     /// Log level and format.
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether a file is of this kind, which is the case if it has the key `role`.
-    pub fn is_meant(text: &str) -> bool {
+    pub fn has_role(text: &str) -> bool {
         let root = Located::parse(text).ok();
         let members = root.as_ref().and_then(Located::members);
         members.is_some_and(|members| members.contains_key("role"))
@@ -153,7 +153,7 @@
             first: first.unwrap_or(false),
             lease_ms: lease.unwrap_or(DEFAULT_LEASE_MS),
             grace_ms: grace.unwrap_or(DEFAULT_GRACE_MS),
-            cores: cores.unwrap_or(MILLICORES),
+            millicores: cores.unwrap_or(MILLICORES),
             policy,
             log,
             clock_offset: offset.unwrap_or(0),
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -27,11 +27,11 @@
     /// Number of tasks of the job.
     pub tasks: u32,
     /// Maximum number of tasks in flight; 0 means no limit.
-    pub flight: u32,
+    pub max_in_flight: u32,
     /// Maximum number of tasks admitted per second; 0 means no limit.
-    pub rate: u32,
+    pub max_rate: u32,
     /// Wall clock time of the owner, in milliseconds since the Unix epoch.
-    pub at: u64,
+    pub time_ms: u64,
 }
 
 /// A command in the journal.
@@ -58,7 +58,7 @@
         outcome: Outcome,
     },
     /// Adds a live instance, which may then own jobs and hold slot shares.
-    Enter(name::Member),
+    Join(name::Member),
     /// Removes an instance from the live ones. Its unfinished jobs end as failed.
     Expel(name::Member),
 }
@@ -108,7 +108,7 @@
     jobs: collections::BTreeMap<id::JobId, Entry>,
     live: collections::BTreeSet<name::Member>,
     usage: collections::BTreeMap<name::Name, Usage>,
-    floor: u64,
+    pruned_before: u64,
 }
 
 /// Quota usage of an account.
@@ -133,27 +133,28 @@
     /// ```
     /// let mut usage = state::table::Usage::default();
     /// let account = "quotes north".into();
-    /// let claim = state::table::Claim { account, tasks: 3, flight: 4, rate: 0, at: 0 };
-    /// assert!(usage.take(&claim).is_ok());
-    /// assert!(usage.take(&claim).is_err());
+    /// let (tasks, max_in_flight, max_rate, time_ms) = (3, 4, 0, 0);
+    /// let claim = state::table::Claim { account, tasks, max_in_flight, max_rate, time_ms };
+    /// assert!(usage.charge(&claim).is_ok());
+    /// assert!(usage.charge(&claim).is_err());
     /// ```
-    pub fn take(&mut self, claim: &Claim) -> Result<(), u64> {
+    pub fn charge(&mut self, claim: &Claim) -> Result<(), u64> {
         const RETRY_MS: u64 = 250;
-        if claim.flight > 0 && self.in_flight + claim.tasks > claim.flight {
+        if claim.max_in_flight > 0 && self.in_flight + claim.tasks > claim.max_in_flight {
             return Err(RETRY_MS);
         }
-        if claim.rate > 0 {
+        if claim.max_rate > 0 {
             self.refill(claim);
             let cost = u64::from(claim.tasks) * 1_000;
             // A job that needs more tokens than one second yields is admitted when the bucket is
             // full, and leaves a debt.
-            let needed = cost.min(u64::from(claim.rate) * 1_000);
+            let needed = cost.min(u64::from(claim.max_rate) * 1_000);
             if self.tokens < needed {
-                return Err((needed - self.tokens).div_ceil(u64::from(claim.rate)));
+                return Err((needed - self.tokens).div_ceil(u64::from(claim.max_rate)));
             }
             let debt = cost.saturating_sub(self.tokens);
             self.tokens = self.tokens.saturating_sub(cost);
-            self.refilled += debt / u64::from(claim.rate);
+            self.refilled += debt / u64::from(claim.max_rate);
         }
         self.in_flight += claim.tasks;
         Ok(())
@@ -165,10 +166,10 @@
     }
 
     fn refill(&mut self, claim: &Claim) {
-        let capacity = u64::from(claim.rate) * 1_000;
-        let elapsed = claim.at.saturating_sub(self.refilled);
-        self.tokens = capacity.min(self.tokens.saturating_add(elapsed * u64::from(claim.rate)));
-        self.refilled = self.refilled.max(claim.at);
+        let capacity = u64::from(claim.max_rate) * 1_000;
+        let elapsed = claim.time_ms.saturating_sub(self.refilled);
+        self.tokens = capacity.min(self.tokens.saturating_add(elapsed * u64::from(claim.max_rate)));
+        self.refilled = self.refilled.max(claim.time_ms);
     }
 }
 
@@ -185,8 +186,8 @@
 
     /// Returns the time before which jobs may have been pruned, by the creation time of their ids,
     /// in milliseconds since the Unix epoch.
-    pub fn floor(&self) -> u64 {
-        self.floor
+    pub fn pruned_before(&self) -> u64 {
+        self.pruned_before
     }
 
     /// Returns the number of jobs in the table.
@@ -216,7 +217,7 @@
                 vec![self.admit(job, digest, owner, claim)]
             }
             Command::End { job, owner, outcome } => self.end(&job, &owner, outcome),
-            Command::Enter(member) => self.enter(member),
+            Command::Join(member) => self.join(member),
             Command::Expel(member) => self.expel(&member),
         }
     }
@@ -238,7 +239,7 @@
         }
         if let Some(claim) = &claim {
             let usage = self.usage.entry(claim.account.clone()).or_default();
-            if let Err(retry) = usage.take(claim) {
+            if let Err(retry) = usage.charge(claim) {
                 return Effect::Limited(job, owner, retry);
             }
         }
@@ -259,7 +260,7 @@
         vec![Effect::Ended(job.clone(), outcome)]
     }
 
-    fn enter(&mut self, member: name::Member) -> Vec<Effect> {
+    fn join(&mut self, member: name::Member) -> Vec<Effect> {
         // A previous incarnation of the same instance can no longer own jobs.
         let previous: Vec<_> =
             self.live.iter().filter(|m| m.name == member.name && **m != member).cloned().collect();
@@ -300,9 +301,9 @@
     ///
     /// The caller must answer requests for ids that old without running the jobs.
     pub fn prune(&mut self, before: u64) -> usize {
-        self.floor = self.floor.max(before);
+        self.pruned_before = self.pruned_before.max(before);
         // All ids of a journal have the same zone, so they are sorted by age.
-        let old = self.jobs.iter().take_while(|(job, _)| job.minted() < before);
+        let old = self.jobs.iter().take_while(|(job, _)| job.created_ms() < before);
         let ended = old.filter(|(_, entry)| entry.outcome.is_some());
         let ended: Vec<_> = ended.map(|(job, _)| job.clone()).collect();
         for job in &ended {
--- a/crates/state/src/tree.rs
+++ b/crates/state/src/tree.rs
@@ -228,7 +228,7 @@
 }
 
 /// Returns why a path is invalid, or `None` if it is valid. The root is the empty path.
-pub fn path_fault(path: &str) -> Option<&'static str> {
+pub fn path_error(path: &str) -> Option<&'static str> {
     if path.is_empty() {
         return None;
     }
@@ -245,7 +245,7 @@
 }
 
 /// Returns the invalid keys of a change, each with the reason.
-pub fn value_faults(values: &serde_json::Map<String, Value>) -> Vec<(String, String)> {
+pub fn value_errors(values: &serde_json::Map<String, Value>) -> Vec<(String, String)> {
     let fault = |(name, value): (&String, &Value)| {
         let reason = match key::find(name) {
             None => Some("unknown key".to_owned()),
--- a/crates/state/src/upstream.rs
+++ b/crates/state/src/upstream.rs
@@ -30,11 +30,11 @@
 }
 
 impl Needs {
-    /// Returns whether these resources fit into `room`.
-    pub fn fits(&self, room: &Self) -> bool {
-        self.cores <= room.cores
-            && self.memory_mb <= room.memory_mb
-            && self.accelerators <= room.accelerators
+    /// Returns whether these resources fit into `capacity`.
+    pub fn fits(&self, capacity: &Self) -> bool {
+        self.cores <= capacity.cores
+            && self.memory_mb <= capacity.memory_mb
+            && self.accelerators <= capacity.accelerators
     }
 
     /// Returns whether no resources are needed.
@@ -59,10 +59,10 @@
     /// Lifecycle phase.
     pub phase: Phase,
     /// Resource capacity of the upstream. `None`, if it declared none, means no limit.
-    pub room: Option<Needs>,
+    pub capacity: Option<Needs>,
     /// Sequence number of the announcement, so that a delayed announcement never replaces a newer
     /// one.
-    pub stamp: u64,
+    pub sequence: u64,
 }
 
 /// An upstream and the end of its lease.
@@ -71,13 +71,13 @@
     /// The announcement.
     pub info: Upstream,
     /// End of the lease, in microseconds of the caller's monotonic clock.
-    pub until: u64,
+    pub expires: u64,
 }
 
 impl Leased {
     /// Returns whether the upstream may get new tasks at `now`.
     pub fn is_open(&self, now: u64) -> bool {
-        self.info.phase == Phase::Serving && now < self.until
+        self.info.phase == Phase::Serving && now < self.expires
     }
 }
 
@@ -117,35 +117,35 @@
     /// lease changed. An announcement older than the stored one is ignored.
     pub fn put(&mut self, info: Upstream, until: u64) -> bool {
         match self.map.get_mut(&info.name) {
-            Some(entry) if entry.info.stamp > info.stamp => false,
+            Some(entry) if entry.info.sequence > info.sequence => false,
             Some(entry) => {
-                let same = Upstream { stamp: info.stamp, ..entry.info.clone() } == info;
-                entry.until = entry.until.max(until);
+                let same = Upstream { sequence: info.sequence, ..entry.info.clone() } == info;
+                entry.expires = entry.expires.max(until);
                 entry.info = info;
                 !same
             }
             None => {
-                self.map.insert(info.name.clone(), Leased { info, until });
+                self.map.insert(info.name.clone(), Leased { info, expires: until });
                 true
             }
         }
     }
 
     /// Extends a lease without a new announcement. Returns false if the upstream is unknown.
-    pub fn renew(&mut self, name: &str, stamp: u64, until: u64) -> bool {
+    pub fn renew(&mut self, name: &str, sequence: u64, until: u64) -> bool {
         let Some(entry) = self.map.get_mut(name) else {
             return false;
         };
-        if stamp >= entry.info.stamp {
-            entry.info.stamp = stamp;
-            entry.until = entry.until.max(until);
+        if sequence >= entry.info.sequence {
+            entry.info.sequence = sequence;
+            entry.expires = entry.expires.max(until);
         }
         true
     }
 
     /// Removes upstreams whose lease ended before `before`, and returns their names.
     pub fn prune(&mut self, before: u64) -> Vec<name::Name> {
-        let expired = |l: &&Leased| l.until < before;
+        let expired = |l: &&Leased| l.expires < before;
         let names: Vec<_> =
             self.map.values().filter(expired).map(|l| l.info.name.clone()).collect();
         for name in &names {
--- a/crates/state/src/wal.rs
+++ b/crates/state/src/wal.rs
@@ -25,7 +25,7 @@
     /// Payloads of the records, in the order of their writes.
     pub records: Vec<Vec<u8>>,
     /// Number of bytes of an incomplete write that were truncated from the end.
-    pub torn: u64,
+    pub truncated_bytes: u64,
 }
 
 impl Wal {
@@ -53,7 +53,7 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes).map_err(io)?;
         let (replay, end) = scan(&bytes, path)?;
-        if replay.torn > 0 {
+        if replay.truncated_bytes > 0 {
             file.set_len(end).map_err(io)?;
             file.sync_all().map_err(io)?;
         }
@@ -110,7 +110,7 @@
                 offset += HEADER_LEN + payload.len();
             }
             Decoded::Torn => {
-                replay.torn = (bytes.len() - offset) as u64;
+                replay.truncated_bytes = (bytes.len() - offset) as u64;
                 break;
             }
             Decoded::Corrupt(reason) => {
--- a/crates/state/tests/hints.rs
+++ b/crates/state/tests/hints.rs
@@ -10,7 +10,7 @@
     let dir = tempfile::tempdir().unwrap();
     let (folder, loaded) = Folder::open(dir.path(), &"west-1".into(), 7).unwrap();
     assert_eq!(loaded.hints, None);
-    assert!(loaded.fault.is_none(), "no hints were written");
+    assert!(loaded.hints_error.is_none(), "no hints were written");
     folder.set_hints(b"first").unwrap();
     folder.set_hints(b"second").unwrap();
     drop(folder);
@@ -23,5 +23,5 @@
     fs::write(&path, &bytes[..bytes.len() - 1]).unwrap();
     let (_, loaded) = Folder::open(dir.path(), &"west-1".into(), 7).unwrap();
     assert_eq!(loaded.hints, None);
-    assert!(loaded.fault.is_some(), "the damage must be reported");
+    assert!(loaded.hints_error.is_some(), "the damage must be reported");
 }
--- a/crates/state/tests/journal.rs
+++ b/crates/state/tests/journal.rs
@@ -18,7 +18,13 @@
 }
 
 fn claim(tasks: u32, flight: u32, rate: u32, at: u64) -> Claim {
-    Claim { account: Name::new("quotes north"), tasks, flight, rate, at }
+    Claim {
+        account: Name::new("quotes north"),
+        tasks,
+        max_in_flight: flight,
+        max_rate: rate,
+        time_ms: at,
+    }
 }
 
 #[test]
@@ -26,8 +32,8 @@
     let (a, b) = (member("west-1", 1), member("west-2", 2));
     let mut table = Table::new();
     assert_eq!(table.apply(admit(job(1), &a, None)), [Effect::Refused(job(1), a.clone())]);
-    table.apply(Command::Enter(a.clone()));
-    table.apply(Command::Enter(b.clone()));
+    table.apply(Command::Join(a.clone()));
+    table.apply(Command::Join(b.clone()));
     assert_eq!(table.apply(admit(job(1), &a, None)), [Effect::Admitted(job(1), a.clone())]);
     assert_eq!(table.apply(admit(job(1), &b, None)), [Effect::Known(job(1), b.clone())]);
     // Only the owner can end the job, and only once.
@@ -42,10 +48,10 @@
 fn expulsion() {
     let (old, new) = (member("west-1", 1), member("west-1", 2));
     let mut table = Table::new();
-    table.apply(Command::Enter(old.clone()));
+    table.apply(Command::Join(old.clone()));
     table.apply(admit(job(1), &old, None));
     // The next incarnation of an instance ends the jobs of the previous one.
-    let effects = table.apply(Command::Enter(new.clone()));
+    let effects = table.apply(Command::Join(new.clone()));
     assert!(effects.contains(&Effect::Ended(job(1), Outcome::Failed)), "{effects:?}");
     assert!(table.is_live(&new) && !table.is_live(&old));
     assert_eq!(table.apply(admit(job(2), &old, None)), [Effect::Refused(job(2), old)]);
@@ -55,7 +61,7 @@
 fn again_after_not_run() {
     let a = member("west-1", 1);
     let mut table = Table::new();
-    table.apply(Command::Enter(a.clone()));
+    table.apply(Command::Join(a.clone()));
     table.apply(admit(job(1), &a, None));
     let outcome = Outcome::NotRun;
     table.apply(Command::End { job: job(1), owner: a.clone(), outcome });
@@ -66,7 +72,7 @@
 fn quota_in_flight() {
     let a = member("west-1", 1);
     let mut table = Table::new();
-    table.apply(Command::Enter(a.clone()));
+    table.apply(Command::Join(a.clone()));
     let admitted = |effects: &[Effect]| matches!(effects, [Effect::Admitted(..)]);
     assert!(admitted(&table.apply(admit(job(1), &a, Some(claim(6, 10, 0, 0))))));
     assert!(!admitted(&table.apply(admit(job(2), &a, Some(claim(5, 10, 0, 0))))));
@@ -75,7 +81,7 @@
     assert!(admitted(&table.apply(admit(job(2), &a, Some(claim(5, 10, 0, 0))))));
     // Expulsion returns the whole quota.
     table.apply(Command::Expel(a.clone()));
-    table.apply(Command::Enter(a.clone()));
+    table.apply(Command::Join(a.clone()));
     assert!(admitted(&table.apply(admit(job(4), &a, Some(claim(10, 10, 0, 0))))));
 }
 
@@ -83,7 +89,7 @@
 fn quota_rate() {
     let a = member("west-1", 1);
     let mut table = Table::new();
-    table.apply(Command::Enter(a.clone()));
+    table.apply(Command::Join(a.clone()));
     let mut admitted = 0;
     // 20 jobs with one task each per second for 10 seconds, at a limit of 5 tasks per second.
     for step in 0..200_u64 {
@@ -103,11 +109,11 @@
 fn forgetting() {
     let a = member("west-1", 1);
     let mut table = Table::new();
-    table.apply(Command::Enter(a.clone()));
+    table.apply(Command::Join(a.clone()));
     table.apply(admit(job(10), &a, None));
     table.apply(admit(job(20), &a, None));
     table.apply(Command::End { job: job(10), owner: a, outcome: Outcome::Complete });
     assert_eq!(table.prune(30), 1, "a job that has not ended must be kept");
     assert!(table.get(&job(10)).is_none() && table.get(&job(20)).is_some());
-    assert_eq!(table.floor(), 30);
+    assert_eq!(table.pruned_before(), 30);
 }
--- a/crates/state/tests/tree.rs
+++ b/crates/state/tests/tree.rs
@@ -86,9 +86,9 @@
 fn path_faults() {
     let long = "a/".repeat(200);
     for path in ["/a", "a/", "a//b", "a b", "é", "a/b/c/d/e/f/g/h/i", long.as_str()] {
-        assert!(tree::path_fault(path).is_some(), "{path}");
+        assert!(tree::path_error(path).is_some(), "{path}");
     }
     for path in ["", "a", "ireland/polish-board"] {
-        assert!(tree::path_fault(path).is_none(), "{path}");
+        assert!(tree::path_error(path).is_none(), "{path}");
     }
 }
--- a/crates/state/tests/wal.rs
+++ b/crates/state/tests/wal.rs
@@ -23,7 +23,7 @@
         fs::write(&path, &intact[..end]).unwrap();
         let (mut wal, replay) = wal::Wal::open(&path).unwrap();
         assert_eq!(replay.records, [b"first".as_slice(), b"second"]);
-        assert_eq!(replay.torn as usize, end - last);
+        assert_eq!(replay.truncated_bytes as usize, end - last);
         wal.append([b"fourth".as_slice()]).unwrap();
         let (_, replay) = wal::Wal::open(&path).unwrap();
         assert_eq!(replay.records, [b"first".as_slice(), b"second", b"fourth"]);
@@ -60,7 +60,7 @@
     folder.append([b"new".as_slice()]).unwrap();
     drop(folder);
     let (mut folder, loaded) = folder::Folder::open(dir.path(), &name, 8).unwrap();
-    assert_eq!((loaded.life, loaded.snapshot.as_deref()), (7, Some(b"state".as_slice())));
+    assert_eq!((loaded.incarnation, loaded.snapshot.as_deref()), (7, Some(b"state".as_slice())));
     assert_eq!(loaded.records, [b"kept".as_slice(), b"new"]);
     folder.compact(b"later", []).unwrap();
     drop(folder);
