--- a/crates/dispatch/tests/claims.rs
+++ b/crates/dispatch/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Who claims a zone, and when, by what an instance has heard.
+//! When an instance claims a zone, depending on the claims that it has received.
 
 use dispatch::{
     claim::Claim,
@@ -8,16 +8,19 @@
     time::{MS, Now},
 };
 
-const WALL: u64 = 1_800_000_000_000;
+/// The wall-clock time at the start, milliseconds.
+const WALL_CLOCK_MS: u64 = 1_800_000_000_000;
 
-/// When an entry claims its zone whose last instance was lost as it started, milliseconds, if the keeper's
-/// claim is told to it at `told`; nobody is ever met.
-fn claimed(stand: Candidate, told: Option<u64>) -> u64 {
-    claimed_from(0, stand, told)
+/// Returns when an entry claims its zone if the zone lost its last other instance as the entry
+/// started, milliseconds. The entry receives the keeper's claim at `heard`, if at all, and never a
+/// heartbeat of any instance.
+fn claim_time(candidate: Candidate, heard: Option<u64>) -> u64 {
+    claim_time_at_age(0, candidate, heard)
 }
 
-/// The same of one that has been running for `age` milliseconds when its zone loses the others.
-fn claimed_from(age: u64, stand: Candidate, told: Option<u64>) -> u64 {
+/// Does the same for an entry that has been running for `age` milliseconds when its zone loses the
+/// other instances.
+fn claim_time_at_age(age: u64, candidate: Candidate, heard: Option<u64>) -> u64 {
     let card =
         |name: &str, role| Card { name: name.into(), zone: "west".into(), role, incarnation: 7 };
     let membership = Membership::new(card("10.0.0.2:7", Role::Entry), &[], 0);
@@ -25,44 +28,54 @@
     let keeper =
         Claim { zone: "west".into(), epoch: 9, holder: "10.0.0.1:7".into(), incarnation: 7 };
     for ms in (0..10_000).step_by(20) {
-        let now = Now::new((age + ms) * MS, WALL + age + ms);
-        if told == Some(ms) {
+        let now = Now::new((age + ms) * MS, WALL_CLOCK_MS + age + ms);
+        if heard == Some(ms) {
             claims.merge(&keeper, now.mono);
         }
-        if claims.campaign(&membership, stand, now).is_some() {
+        if claims.campaign(&membership, candidate, now).is_some() {
             return ms;
         }
     }
-    panic!("it never claims");
+    panic!("the entry never claims its zone");
 }
 
 const STRONG: Candidate = Candidate { schedules: false, equipped: true, low_capacity: false };
 
-/// Story: everything came back within 150 ms after a loss of power, and the keepers claimed their zones.
-/// Entries that had not met them yet claimed 40 ms later, as they knew of no upstream and took themselves
-/// for strong enough, or 300 ms later, as they had heard of the claim without having met its holder:
-/// four of one zone within 20 ms, each above the other. The last of them had the zone for 1.4 s, with
-/// 0.12 of a core, while all clients came back: 550 answers of 2 s were late, 245 jobs refused.
+/// Entries must not claim a zone that its restarted keeper has just claimed. After a power loss all
+/// instances restarted within 150 ms, and the keepers claimed their zones. Entries that had not yet
+/// received a heartbeat from them claimed the zones too: after 40 ms if they knew no upstream and
+/// so took themselves for strong enough, or after 300 ms if they had received the claim but no
+/// heartbeat of its holder. Four entries of one zone did so within 20 ms, each with a higher claim
+/// than the one before. The last of them scheduled the zone for 1.4 s with 0.12 of a core while all
+/// clients reconnected: 550 answers of 2 s were late, and 245 jobs were refused.
 #[test]
 fn restart_of_everything() {
     let bare = Candidate { equipped: false, ..STRONG };
-    assert!((1_000..1_400).contains(&claimed(bare, None)), "without upstreams it lets others go");
+    assert!(
+        (1_000..1_400).contains(&claim_time(bare, None)),
+        "without upstreams the entry lets others claim first"
+    );
     let weak = Candidate { low_capacity: true, ..STRONG };
-    assert!((1_200..1_600).contains(&claimed(weak, Some(200))), "a claim that it heard of stands");
+    assert!(
+        (1_200..1_600).contains(&claim_time(weak, Some(200))),
+        "the entry respects a claim that it received"
+    );
 }
 
-/// A claim whose holder is lost is news for two heartbeats; what nobody claimed is claimed at once.
+/// A strong entry waits two heartbeats for the holder of a claim that it has received. It claims a
+/// zone without a claim at once.
 #[test]
 fn strong_entry() {
-    assert!((140..200).contains(&claimed(STRONG, None)));
-    assert!((400..460).contains(&claimed(STRONG, Some(100))));
+    assert!((140..200).contains(&claim_time(STRONG, None)));
+    assert!((400..460).contains(&claim_time(STRONG, Some(100))));
 }
 
-/// A weak one leaves a keeper of another zone two heartbeats, and 1 s to its own keeper if it has just started:
-/// it may know of a configuration and of upstreams by a keeper of another zone before its own is back.
+/// A weak entry gives the keepers of other zones two heartbeats to claim its zone first. If it has
+/// just started, it gives its own keeper 1 s, because it may receive a configuration and upstreams
+/// from a keeper of another zone before its own keeper is back.
 #[test]
 fn weak_entry() {
     let weak = Candidate { low_capacity: true, ..STRONG };
-    assert!((290..350).contains(&claimed_from(5_000, weak, None)));
-    assert!((1_290..1_350).contains(&claimed(weak, None)));
+    assert!((290..350).contains(&claim_time_at_age(5_000, weak, None)));
+    assert!((1_290..1_350).contains(&claim_time(weak, None)));
 }
--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that bring down each upstream that starts them.
+//! Tasks that crash each upstream that starts them.
 
 mod sample;
 mod world;
@@ -16,7 +16,7 @@
 use state::name::Name;
 use world::World;
 
-/// Hands in a job whose tasks crash, for a client that waits for long.
+/// Submits a job whose tasks crash their upstreams, for a client that waits for 60 s.
 fn submit_crashing(world: &mut World, zone: usize, count: u32) -> Name {
     let id = world.submit(zone, count, 14_000, 400);
     world.requests.get_mut(&id).unwrap().job.patience = 60_000;
@@ -24,7 +24,7 @@
     id
 }
 
-/// How often the task of a job was started that was started most.
+/// Returns the highest number of starts of any task of a job.
 fn starts(world: &World, id: &Name) -> u32 {
     let of_job = world.begun.iter().filter(|(task, _)| task.job == *id);
     of_job.map(|(_, count)| *count).max().unwrap_or(0)
@@ -34,11 +34,10 @@
     world.requests[id].verdict.as_ref().map(|(verdict, _)| verdict.clone())
 }
 
-/// A task is given up after three upstreams at most, and its client is told.
-///
-/// Story: a task ended the life of each upstream that started it. Its runs neither failed nor ended, so
-/// that nothing counted them: it was started anew each second, until its client gave up, 61 times in 60
-/// s, and took what ran beside it along each time.
+/// The scheduler gives a task up after it has crashed at most three upstreams, and the client gets
+/// the verdict. The runs of such a task neither failed nor ended, so no count of attempts included
+/// them: a task was restarted each second until its client gave up, 61 times in 60 s, and each time
+/// the other tasks at its upstream were lost too.
 #[test]
 fn given_up() {
     for seed in 0..5 {
@@ -51,7 +50,7 @@
     }
 }
 
-/// The next scheduler knows what the former one saw.
+/// A new scheduler knows the crashes that its predecessor has seen.
 #[test]
 fn scheduler_lost() {
     for seed in 0..5 {
@@ -67,7 +66,8 @@
     }
 }
 
-/// The client loses its entry and hands the job in once more, also in another zone.
+/// A task that was given up is not started again when the client loses its entry and submits the
+/// job once more, in the same or in another zone.
 #[test]
 fn sent_again() {
     for zone in [0, 1] {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Others are served beside it: two such jobs a second take no more than what they bring down, and no
+/// Two crashing jobs per second do no more harm than the loss of the upstreams that they crash: no
 /// other job fails.
 #[test]
 fn others_served() {
@@ -123,14 +123,14 @@
     let mut suspects = Suspects::default();
     assert_eq!(suspects.add(&loss("u1", true, &["a", "b"]), 0), []);
     assert_eq!(suspects.add(&loss("u1", true, &["a", "b"]), 0), [], "each loss counts once");
-    assert_eq!(suspects.add(&loss("u2", false, &["a"]), 0), [], "it may be cut off");
-    assert_eq!(suspects.add(&loss("u2", true, &["a"]), 0), [task("a")], "now it is proved");
+    assert_eq!(suspects.add(&loss("u2", false, &["a"]), 0), [], "the upstream may only be cut off");
+    assert_eq!(suspects.add(&loss("u2", true, &["a"]), 0), [task("a")], "the crash is now proved");
     assert!(suspects.is_given_up(&"a".into()));
     assert!(!suspects.is_given_up(&"b".into()));
 
     let mut suspects = Suspects::default();
     suspects.add(&loss("u1", true, &["a", "b"]), 0);
-    assert_eq!(suspects.add(&loss("u2", true, &["a", "b"]), 0), [], "either may be at fault");
+    assert_eq!(suspects.add(&loss("u2", true, &["a", "b"]), 0), [], "either task may be at fault");
     assert_eq!(suspects.add(&loss("u3", true, &["b"]), 0), [task("b")]);
     suspects.remove_task(&task("a"));
     assert!(!suspects.has(&task("a")));
@@ -140,29 +140,32 @@
         suspects.add(&loss(upstream, false, &["a"]), 0);
         suspects.clear_upstream(&upstream.into());
     }
-    assert!(!suspects.has(&task("a")), "they were only silent");
+    assert!(!suspects.has(&task("a")), "the upstreams were only silent");
 }
 
-struct Play {
+/// A scheduler, with upstreams that the test itself answers for.
+struct Harness {
     sched: Sched,
     suspects: Suspects,
     now: u64,
-    /// The last hold of each upstream.
+    /// The last hold call to each upstream.
     holds: BTreeMap<Name, Call>,
 }
 
-impl Play {
-    /// A scheduler whose upstreams have answered.
+impl Harness {
+    /// Creates a scheduler whose upstreams have all answered.
     fn new(upstreams: &[&str]) -> Self {
         let now = 1_000 * MS;
         let sched = sample::scheduler(upstreams, now);
-        let mut play = Self { sched, suspects: Suspects::default(), now, holds: BTreeMap::new() };
-        for call in play.calls() {
-            play.answer(&call, vec![]);
+        let mut harness =
+            Self { sched, suspects: Suspects::default(), now, holds: BTreeMap::new() };
+        for call in harness.calls() {
+            harness.answer(&call, vec![]);
         }
-        play
+        harness
     }
 
+    /// Runs the scheduler and returns the calls that it makes.
     fn calls(&mut self) -> Vec<Call> {
         let findings = self.sched.take_findings();
         self.suspects.apply_findings(&findings);
@@ -177,6 +180,7 @@
         calls
     }
 
+    /// Answers a call with success.
     fn answer(&mut self, call: &Call, running: Vec<Running>) {
         let clock = CLOCK + self.now / MS;
         let outcome = match call.order {
@@ -186,7 +190,7 @@
         self.sched.process_outcome(call.number, call.fence, outcome, self.now);
     }
 
-    /// Hands a job of one task in; gives the start of it.
+    /// Submits a job of one task and returns the call that starts it.
     fn submit(&mut self, id: &str) -> Call {
         let job = Job { entry_clock: self.now, ..sample::job(id, 1) };
         self.sched.submit(job, &"e".into(), self.now);
@@ -194,7 +198,7 @@
         start.unwrap().1
     }
 
-    /// What is started now, by job.
+    /// Runs the scheduler, answers its start calls and returns them with their jobs.
     fn starts(&mut self) -> Vec<(Name, Call)> {
         let mut starts = Vec::new();
         for call in self.calls() {
@@ -209,25 +213,25 @@
 
 #[test]
 fn apart() {
-    // Two tasks run where the upstream was lost: they are started again apart from each other, each
-    // where nothing else runs, and others go elsewhere while there is room.
-    let mut play = Play::new(&["u1", "u2", "u3", "u4"]);
-    let first = play.submit("a");
-    let second = play.submit("b");
-    assert_eq!(first.upstream, second.upstream, "as tight as it goes");
-    let other = play.submit("c");
+    // Two tasks ran at an upstream that was lost. They restart at different upstreams where no
+    // other task runs, and other tasks start elsewhere as long as there is room.
+    let mut harness = Harness::new(&["u1", "u2", "u3", "u4"]);
+    let first = harness.submit("a");
+    let second = harness.submit("b");
+    assert_eq!(first.upstream, second.upstream, "the scheduler packs tasks tightly");
+    let other = harness.submit("c");
     assert_ne!(first.upstream, other.upstream);
-    play.sched.process_outcome(
-        play.holds[&first.upstream].number,
+    harness.sched.process_outcome(
+        harness.holds[&first.upstream].number,
         first.fence,
         Outcome::Replaced,
-        play.now,
+        harness.now,
     );
-    let again = play.starts();
+    let again = harness.starts();
     let places: BTreeSet<_> = again.iter().map(|(_, c)| &c.upstream).collect();
     assert_eq!(again.len(), 2);
     assert_eq!(places.len(), 2, "{again:?}");
-    assert!(!places.contains(&other.upstream), "what runs there would be lost, too");
-    let next = play.submit("d");
+    assert!(!places.contains(&other.upstream), "the task that runs there would be lost, too");
+    let next = harness.submit("d");
     assert_eq!(next.upstream, other.upstream);
 }
--- a/crates/dispatch/tests/many.rs
+++ b/crates/dispatch/tests/many.rs
@@ -1,6 +1,7 @@
-//! Systems of many instances: what each role sends and gets, and what a late answer leads to.
+//! Systems of many instances: the traffic of each role, and the effects of late answers.
 //!
-//! `cargo test --test many -- --ignored --nocapture table` prints the figures of docs/design/scale.md.
+//! `cargo test --test many -- --ignored --nocapture table` prints the figures for
+//! docs/design/scale.md.
 
 mod world;
 
@@ -11,40 +12,41 @@
 
 const ZONES: usize = 3;
 const KEEPERS: usize = 2;
-/// Upstreams for each instance, as in the users' sweep.
+/// The number of upstreams for each instance, as in the users' parameter sweep.
 const UPSTREAMS: usize = 10;
 /// Microseconds in a second.
 const SECOND: f64 = 1e6;
 
-/// A system of `all` instances, keepers first in each zone, with so many upstreams for each.
-fn system(seed: u64, all: usize, upstreams: usize) -> World {
+/// Builds a system of `all` instances, keepers first in each zone, with `upstreams` upstreams for
+/// each instance.
+fn build_system(seed: u64, all: usize, upstreams: usize) -> World {
     let entries = all / ZONES - KEEPERS;
     let mut world = World::with_keepers(seed, ZONES, KEEPERS, entries, all * upstreams / ZONES);
-    world.weigh = true;
+    world.count_flows = true;
     world
 }
 
-/// Messages and bytes a second of one instance.
+/// The messages and bytes per second of one instance.
 #[derive(Clone, Debug, Default)]
 struct Rate {
     sent: (f64, f64),
-    got: (f64, f64),
+    received: (f64, f64),
     kinds: BTreeMap<&'static str, (f64, f64)>,
 }
 
 impl Rate {
-    /// Messages a second, both ways.
+    /// Returns the messages per second, sent and received.
     fn messages(&self) -> f64 {
-        self.sent.0 + self.got.0
+        self.sent.0 + self.received.0
     }
 
-    /// Bytes a second, both ways.
+    /// Returns the bytes per second, sent and received.
     fn bytes(&self) -> f64 {
-        self.sent.1 + self.got.1
+        self.sent.1 + self.received.1
     }
 }
 
-/// What each instance of a role sent and got since then, the quietest first.
+/// Returns the rates of the instances of a role since `since`, in ascending order of bytes.
 fn rates(world: &mut World, role: Role, since: u64) -> Vec<Rate> {
     let time = (world.now - since) as f64 / SECOND;
     let each = |flow: &Flow| (flow.count as f64 / time, flow.bytes as f64 / time);
@@ -52,19 +54,20 @@
     for ((at, sent, kind), flow) in &world.flows {
         let rate = &mut rates[*at];
         let (count, bytes) = each(flow);
-        let sum = if *sent { &mut rate.sent } else { &mut rate.got };
+        let sum = if *sent { &mut rate.sent } else { &mut rate.received };
         *sum = (sum.0 + count, sum.1 + bytes);
         let sum = rate.kinds.entry(kind).or_default();
         *sum = (sum.0 + count, sum.1 + bytes);
     }
-    let mine = rates.into_iter().zip(&world.instances).filter(|(_, i)| i.card.role == role);
-    let mut mine: Vec<_> = mine.map(|(rate, _)| rate).collect();
-    mine.sort_by(|a, b| a.bytes().total_cmp(&b.bytes()));
-    mine
+    let selected = rates.into_iter().zip(&world.instances).filter(|(_, i)| i.card.role == role);
+    let mut selected: Vec<_> = selected.map(|(rate, _)| rate).collect();
+    selected.sort_by(|a, b| a.bytes().total_cmp(&b.bytes()));
+    selected
 }
 
-/// Plays on for `ms` milliseconds and gives the rates of entries and keepers in it.
-fn play(world: &mut World, ms: u64) -> (Vec<Rate>, Vec<Rate>) {
+/// Runs the simulation for `ms` milliseconds and returns the rates of entries and of keepers in
+/// that time.
+fn measure(world: &mut World, ms: u64) -> (Vec<Rate>, Vec<Rate>) {
     world.flows.clear();
     world.redials.clear();
     let since = world.now;
@@ -72,7 +75,8 @@
     (rates(world, Role::Entry, since), rates(world, Role::Keeper, since))
 }
 
-fn show(what: &str, all: usize, ms: u64, world: &World, rates: &(Vec<Rate>, Vec<Rate>)) {
+/// Prints the rates of the median and the busiest instances, and the number of redials.
+fn print_rates(label: &str, all: usize, ms: u64, world: &World, rates: &(Vec<Rate>, Vec<Rate>)) {
     let (entries, keepers) = rates;
     let rows = [
         ("entry, middle", &entries[entries.len() / 2]),
@@ -86,11 +90,11 @@
             .map(|(kind, (count, bytes))| format!("{kind} {count:.0}/{:.1}", bytes / 1e3));
         let kinds: Vec<_> = kinds.collect();
         println!(
-            "| {what} | {all} | {role} | {:.0} | {:.1} | {:.0} | {:.1} | {} |",
+            "| {label} | {all} | {role} | {:.0} | {:.1} | {:.0} | {:.1} | {} |",
             rate.sent.0,
             rate.sent.1 / 1e3,
-            rate.got.0,
-            rate.got.1 / 1e3,
+            rate.received.0,
+            rate.received.1 / 1e3,
             kinds.join(", ")
         );
     }
@@ -98,72 +102,74 @@
     let sum: u64 = world.redials.values().sum();
     let time = ms as f64 / 1e3;
     let noted = |text: &str| world.notes.get(text).copied().unwrap_or(0);
-    println!("| {what} | {all} | schedulers made so far: {} |", noted("zone: Scheduling."));
+    println!("| {label} | {all} | schedulers made so far: {} |", noted("zone: Scheduling."));
     println!(
-        "| {what} | {all} | redials/s: all {:.0}, most of one {:.1} |",
+        "| {label} | {all} | redials/s: all {:.0}, most of one {:.1} |",
         sum as f64 / time,
         most as f64 / time
     );
 }
 
-/// Fails where one of these instances sends and gets more than so many messages and KB a second.
-fn bound(what: &str, rate: &Rate, messages: f64, kb: f64) {
+/// Asserts that an instance sends and receives no more than `messages` messages and `kb` KB per
+/// second.
+fn assert_rate(label: &str, rate: &Rate, messages: f64, kb: f64) {
     let (count, bytes) = (rate.messages(), rate.bytes() / 1e3);
     assert!(
         count <= messages && bytes <= kb,
-        "{what}: {count:.0} messages and {bytes:.1} KB a second, {:?}",
+        "{label}: {count:.0} messages and {bytes:.1} KB per second, {:?}",
         rate.kinds
     );
 }
 
 #[test]
 fn start_of_many() {
-    // Everybody starts and all upstreams announce themselves. On links of 25 Mbit/s and 0.12 of a
-    // core an entry has to have processor time left for its clients.
-    let mut world = system(1, 300, 2);
-    let (entries, keepers) = play(&mut world, 3_000);
-    bound("entry, middle", &entries[entries.len() / 2], 60.0, 30.0);
-    bound("entry, busiest", &entries[entries.len() - 1], 400.0, 100.0);
-    bound("keeper, busiest", &keepers[keepers.len() - 1], 4_000.0, 1_500.0);
+    // All instances start and all upstreams announce themselves. With a link of 25 Mbit/s and 0.12
+    // of a core, an entry must have processor time left for its clients.
+    let mut world = build_system(1, 300, 2);
+    let (entries, keepers) = measure(&mut world, 3_000);
+    assert_rate("entry, middle", &entries[entries.len() / 2], 60.0, 30.0);
+    assert_rate("entry, busiest", &entries[entries.len() - 1], 400.0, 100.0);
+    assert_rate("keeper, busiest", &keepers[keepers.len() - 1], 4_000.0, 1_500.0);
 }
 
 #[test]
 fn calm_of_many() {
-    // 6.7 heartbeats a second both ways with two keepers and a scheduler or two; a keeper with its
-    // zone and all keepers.
-    let mut world = system(1, 300, 2);
+    // An entry exchanges 6.7 heartbeats per second in each direction with two keepers and one or
+    // two schedulers; a keeper exchanges them with its zone and all keepers.
+    let mut world = build_system(1, 300, 2);
     world.run(6_000);
-    let (entries, keepers) = play(&mut world, 2_000);
-    bound("entry, middle", &entries[entries.len() / 2], 40.0, 8.0);
-    bound("entry, busiest", &entries[entries.len() - 1], 60.0, 12.0);
-    bound("keeper, busiest", &keepers[keepers.len() - 1], 1_500.0, 300.0);
+    let (entries, keepers) = measure(&mut world, 2_000);
+    assert_rate("entry, middle", &entries[entries.len() / 2], 40.0, 8.0);
+    assert_rate("entry, busiest", &entries[entries.len() - 1], 60.0, 12.0);
+    assert_rate("keeper, busiest", &keepers[keepers.len() - 1], 1_500.0, 300.0);
 }
 
 #[test]
 fn late_heartbeats() {
-    // Who is late is not lost: dialling anew would only lose what is on its way.
-    let mut world = system(1, 300, 2);
+    // An instance whose heartbeats are late is not lost: redialling would only lose the messages in
+    // transit.
+    let mut world = build_system(1, 300, 2);
     world.run(6_000);
     world.notes.clear();
     world.redials.clear();
-    world.lag = (400_000, 1_000_000);
+    world.jitter = (400_000, 1_000_000);
     world.run(5_000);
     let most = world.redials.values().max().copied().unwrap_or(0);
     let all: u64 = world.redials.values().sum();
     assert!(most <= 10, "{most} redials of one instance in 5 s");
     assert!(all <= 300, "{all} redials of 300 instances in 5 s");
-    assert_eq!(world.notes.get("zone: Scheduling."), None, "nobody was lost");
+    assert_eq!(world.notes.get("zone: Scheduling."), None, "no instance was lost");
 }
 
 #[test]
 fn silent_streams() {
-    // All streams carry nothing any more until they are dialled anew.
-    let mut world = system(1, 99, 2);
+    // All streams stop delivering messages until they are redialled.
+    let mut world = build_system(1, 99, 2);
     world.run(2_000);
     world.publish(0, 1, "a");
     world.run(4_000);
     let count = world.instances.len();
-    world.silent = (0..count).flat_map(|from| (0..count).map(move |to| (from, to))).collect();
+    world.stalled = (0..count).flat_map(|from| (0..count).map(move |to| (from, to))).collect();
     world.run(4_000);
     let now = world.now;
     let ready = |i: &&world::Instance| {
@@ -180,17 +186,17 @@
 
 #[test]
 fn keepers_of_a_zone_lost() {
-    // Entries that do not hear one another in calm find who is to schedule their zone, and hand it
-    // back.
+    // Entries that exchange no heartbeats in normal operation agree on a scheduler for their zone,
+    // and hand the zone back to its keeper.
     for seed in 0..3 {
-        let mut world = system(seed, 99, 2);
+        let mut world = build_system(seed, 99, 2);
         world.run(4_000);
         for at in 0..KEEPERS {
             world.kill(at);
         }
         world.run(2_000);
         assert_eq!(world.schedulers(0).len(), 1, "seed {seed}");
-        // The next in rank go, too, all at once.
+        // The next candidates by rank are lost as well, all at once.
         let next = world.schedulers(0)[0];
         for at in KEEPERS..KEEPERS + 6 {
             world.kill(at);
@@ -210,9 +216,9 @@
 
 #[test]
 fn scheduler_of_many_lost() {
-    // The other keeper has the zone after 500 ms and a tick, and all entries know it.
+    // The other keeper schedules the zone after 500 ms and a tick, and all entries know that.
     for seed in 0..3 {
-        let mut world = system(seed, 99, 2);
+        let mut world = build_system(seed, 99, 2);
         world.run(4_000);
         world.kill(0);
         world.run(600);
@@ -227,7 +233,7 @@
 #[test]
 fn zone_of_many_cut() {
     for seed in 0..2 {
-        let mut world = system(seed, 60, 2);
+        let mut world = build_system(seed, 60, 2);
         world.run(4_000);
         world.cut_zone(1, true);
         world.run(1_500);
@@ -248,8 +254,8 @@
 
 #[test]
 fn keepers_of_many_replaced() {
-    // A zone gets other machines for its keepers, one after the other.
-    let mut world = system(2, 60, 2);
+    // The keepers of a zone move to other machines, one after the other.
+    let mut world = build_system(2, 60, 2);
     world.run(4_000);
     for (at, name) in [(0, "10.0.5.1:7"), (1, "10.0.5.2:7")] {
         world.move_keeper(at, name);
@@ -265,9 +271,10 @@
 
 #[test]
 fn one_way_cut_of_many() {
-    // The scheduler of the zone does not get what an entry sends, or the other way round.
+    // Messages from an entry to the scheduler of its zone are lost, or those in the other
+    // direction.
     for (from, to) in [(10, 0), (0, 10)] {
-        let mut world = system(1, 99, 2);
+        let mut world = build_system(1, 99, 2);
         world.run(4_000);
         world.cut(from, to, true);
         world.run(1_000);
@@ -281,11 +288,11 @@
 
 #[test]
 fn nobody_forgotten() {
-    // Whom an instance does not hear in calm is not gone.
-    let mut world = system(1, 60, 2);
+    // In normal operation an instance does not forget the peers that send it no heartbeats.
+    let mut world = build_system(1, 60, 2);
     world.run(45_000);
     assert_eq!(world.notes.get("peer: Forgotten."), None);
-    // One that is gone is forgotten by all, and no lists are sent for it.
+    // All instances forget one that has stopped for good, and then send no lists because of it.
     world.kill(30);
     world.run(33_000);
     let known = |i: &world::Instance| i.core.as_ref().map(|core| core.status(Now::new(1, 1)).known);
@@ -299,9 +306,9 @@
 
 #[test]
 fn forgotten_and_back() {
-    // An instance that stood still for longer than others remember it is known to all again.
+    // All instances know an instance again that was frozen for longer than they remember peers.
     for all in [9, 60] {
-        let mut world = system(1, all, 2);
+        let mut world = build_system(1, all, 2);
         world.run(4_000);
         let at = all - 1;
         world.freeze(at);
@@ -322,9 +329,9 @@
 
 #[test]
 fn silent_upstreams() {
-    // Each call to an upstream that does not answer takes a connection with it: calling them all
-    // again and again is what a scheduler that is late does to itself.
-    let mut world = system(1, 9, 60);
+    // Each call to an upstream that does not answer costs a connection, so a scheduler that calls
+    // all silent upstreams again and again makes itself late.
+    let mut world = build_system(1, 9, 60);
     world.run(3_000);
     for at in 0..world.upstreams.len() {
         world.wall(at, 0, true);
@@ -333,7 +340,7 @@
     world.calls.clear();
     world.run(2_000);
     let calls = world.calls[&0] / 2;
-    assert!(calls <= 400, "{calls} calls a second to 180 silent upstreams");
+    assert!(calls <= 400, "{calls} calls per second to 180 silent upstreams");
     for at in 0..world.upstreams.len() {
         world.wall(at, 0, false);
     }
@@ -345,8 +352,9 @@
 
 #[test]
 fn busy_upstreams() {
-    // A hold each 200 ms at each of a thousand busy upstreams would take all of a keeper's time.
-    let mut world = system(1, 9, 300);
+    // One hold call per 200 ms to each of a thousand busy upstreams would take all of a keeper's
+    // processor time.
+    let mut world = build_system(1, 9, 300);
     world.run(3_000);
     for _ in 0..60 {
         world.submit_as(0, 30, 14_000, 3_500, 3_500, 0);
@@ -355,7 +363,7 @@
     world.calls.clear();
     world.run(2_000);
     let calls = world.calls[&0] / 2;
-    assert!(calls <= 900 * 5 / 2, "{calls} calls a second to 900 busy upstreams");
+    assert!(calls <= 900 * 5 / 2, "{calls} calls per second to 900 busy upstreams");
     world.run(4_000);
     assert_eq!(world.complete(), 60);
     assert_eq!(world.faults, Vec::<String>::new());
@@ -370,16 +378,16 @@
     let sizes = std::env::var("SIZES").unwrap_or_else(|_| "30,100,300".to_owned());
     for all in sizes.split(',').filter_map(|size| size.parse().ok()) {
         let began = std::time::Instant::now();
-        let mut world = system(1, all, UPSTREAMS);
-        let first = play(&mut world, 3_000);
-        show("first 3 s", all, 3_000, &world, &first);
+        let mut world = build_system(1, all, UPSTREAMS);
+        let first = measure(&mut world, 3_000);
+        print_rates("first 3 s", all, 3_000, &world, &first);
         world.run(12_000);
-        let calm = play(&mut world, 4_000);
-        show("calm", all, 4_000, &world, &calm);
-        world.lag = (400_000, 1_000_000);
-        let late = play(&mut world, 5_000);
-        show("late 0.4 to 1 s", all, 5_000, &world, &late);
-        world.lag = (0, 0);
+        let calm = measure(&mut world, 4_000);
+        print_rates("calm", all, 4_000, &world, &calm);
+        world.jitter = (400_000, 1_000_000);
+        let late = measure(&mut world, 5_000);
+        print_rates("late 0.4 to 1 s", all, 5_000, &world, &late);
+        world.jitter = (0, 0);
         world.run(3_000);
         for at in 0..world.instances.len() {
             world.kill(at);
@@ -388,18 +396,20 @@
         for at in 0..world.instances.len() {
             world.start(at);
         }
-        let again = play(&mut world, 3_000);
-        show("all started again, 3 s", all, 3_000, &world, &again);
+        let again = measure(&mut world, 3_000);
+        print_rates("all started again, 3 s", all, 3_000, &world, &again);
         println!("{all}: {:.0} s", began.elapsed().as_secs_f64());
     }
 }
 
-/// Story: everything lost power, and entries were back 30 to 400 ms before the keepers of their zones, as one
-/// keeper was, too. It remembered its own zone and the other keepers; 475 of 759 requests that met an
-/// entry without a configuration came to the other zones' entries while it could have told them.
+/// After a power loss of the whole system, the first keeper to restart must send the configuration
+/// to the entries of all zones, not only to those of its own. The entries and one keeper
+/// restarted 30 to 400 ms before the keepers of the entries' zones. This keeper remembered only its
+/// own zone and the other keepers. 475 of the 759 requests that reached an entry without a
+/// configuration reached entries of the other zones while this keeper could have sent it to them.
 #[test]
 fn first_keeper_back() {
-    let mut world = system(1, 60, 2);
+    let mut world = build_system(1, 60, 2);
     world.run(4_000);
     world.publish(0, 5, "text");
     world.run(2_000);
@@ -408,7 +418,7 @@
     world.run(1_000);
     let is_entry = |at: &usize| world.instances[*at].card.role == Role::Entry;
     let (entries, keepers): (Vec<_>, Vec<_>) = all.clone().partition(is_entry);
-    // It is no seed, so that no entry looks for it.
+    // This keeper is not a seed, so that no entry contacts it first.
     let first = 1;
     entries.iter().chain([&first]).for_each(|at| world.start(*at));
     world.run(200);
@@ -418,7 +428,7 @@
     };
     let without = all.filter(|at| version(&world, *at) == Some(0)).count();
     assert_eq!(without, 0, "entries without a configuration");
-    // No entry takes a zone whose keepers are on their way.
+    // No entry claims a zone whose keepers are about to restart.
     keepers.iter().filter(|at| **at != first).for_each(|at| world.start(*at));
     world.run(2_000);
     for zone in 0..ZONES {
--- a/crates/dispatch/tests/random_faults.rs
+++ b/crates/dispatch/tests/random_faults.rs
@@ -1,7 +1,8 @@
-//! Random faults, several at a time: nothing runs twice at a time, every "not run" is true, an
-//! acknowledged configuration is never lost, and work goes on once the faults are over.
+//! Injects several random faults at a time and checks that no task runs twice at a time, that every
+//! "not run" verdict is true, that an acknowledged configuration is never lost, and that jobs
+//! complete again once the faults are over.
 //!
-//! `SEEDS=N` plays N seeds from `FIRST_SEED` on; a fault names its seed.
+//! `SEEDS=N` runs N seeds, starting with `FIRST_SEED`; a failure names its seed.
 
 mod world;
 
@@ -16,20 +17,22 @@
 const UPSTREAMS: usize = 6;
 const INSTANCES: usize = ZONES * (ENTRIES + 1);
 
-fn number(key: &str, default: u64) -> u64 {
+fn env_number(key: &str, default: u64) -> u64 {
     env::var(key).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Entries of a zone, so many that not everybody hears all keepers.
+/// The number of entries of a zone in the tests of weak entries: enough that not every instance
+/// receives messages from all keepers.
 const WEAK_ENTRIES: usize = 6;
-/// A task that brings upstreams down is started no more than twice after three were lost under it.
+/// The most starts of a task that crashes its upstreams: no more than two after it has crashed
+/// three.
 const MOST_STARTS: u32 = 5;
 
-/// The step that ends a fault.
+/// The function that ends a fault.
 type End = Box<dyn FnOnce(&mut World)>;
 
-/// One fault now, and the step that ends it.
-fn fault(world: &mut World) -> End {
+/// Starts a random fault and returns the function that ends it.
+fn start_fault(world: &mut World) -> End {
     let all = world.instances.len();
     let size = all / ZONES;
     let at = world.rng.random_range(0..all);
@@ -44,12 +47,12 @@
             Box::new(move |world| world.thaw(at))
         }
         14 => {
-            // It starts again with its time of day off.
-            world.skew = world.rng.random_range(-5_000..5_000);
+            // The instance restarts with a wrong wall clock.
+            world.clock_skew = world.rng.random_range(-5_000..5_000);
             world.kill(at);
             Box::new(move |world| {
                 world.start(at);
-                world.skew = 0;
+                world.clock_skew = 0;
             })
         }
         15 => {
@@ -57,7 +60,7 @@
             Box::new(|world| world.busy = 0)
         }
         16 => {
-            // The keepers come first in their zones.
+            // The keeper is the first instance of its zone.
             world.ear = Some(at - at % size);
             Box::new(|world| world.ear = None)
         }
@@ -98,8 +101,8 @@
             Box::new(move |world| world.wall(up, at, false))
         }
         10 => {
-            let life: u32 = world.rng.random();
-            world.upstreams[up].crash(&format!("i-{up}-{life}"));
+            let suffix: u32 = world.rng.random();
+            world.upstreams[up].crash(&format!("i-{up}-{suffix}"));
             Box::new(|_| {})
         }
         11 => {
@@ -117,8 +120,9 @@
     }
 }
 
-/// One fault of an upstream or an entry now, and the step that ends it. Schedulers live on: what one of
-/// them started just before it was lost is known to nobody.
+/// Starts a random fault of an upstream or an entry and returns the function that ends it. No
+/// scheduler is lost, since no other instance knows the tasks that a scheduler started just before
+/// its loss.
 fn fatal_fault(world: &mut World) -> End {
     let up = world.rng.random_range(0..world.upstreams.len());
     match world.rng.random_range(0..6) {
@@ -151,10 +155,10 @@
     }
 }
 
-/// Some fault, or a zone that is evacuated, and the step that ends it.
+/// Starts a random fault or evacuates a zone, and returns the function that ends it.
 fn evacuation_fault(world: &mut World) -> End {
     if world.rng.random_range(0..3) > 0 {
-        return fault(world);
+        return start_fault(world);
     }
     let zone = world.rng.random_range(0..ZONES);
     let keeper = world.rng.random_range(0..ZONES) * (ENTRIES + 1);
@@ -164,8 +168,9 @@
     })
 }
 
-/// Takes all zones back, now that an order can be carried out.
-fn take_back(world: &mut World) {
+/// Ends the evacuation of all zones, once the faults are over and such an order can be carried
+/// out.
+fn readmit_zones(world: &mut World) {
     world.run(3_000);
     for zone in 0..ZONES {
         let ticket = world.evacuate(0, zone, false);
@@ -174,12 +179,13 @@
     }
 }
 
-/// A zone with two keepers and two entries, as the tests of slow streams have it.
+/// The number of keepers of a zone in the tests of slow streams.
 const SLOW_KEEPERS: usize = 2;
+/// The number of instances of such a zone: two keepers and two entries.
 const SLOW_SIZE: usize = SLOW_KEEPERS + ENTRIES;
 
-/// One fault now, among them streams on which messages wait for seconds, and the step that ends
-/// it.
+/// Starts a random fault, which may delay the messages of streams by seconds, and returns the
+/// function that ends it.
 fn slow_fault(world: &mut World) -> End {
     let all = world.instances.len();
     let at = world.rng.random_range(0..all);
@@ -212,25 +218,26 @@
             return Box::new(move |world| world.wall(up, at, false));
         }
         11 | 12 => {
-            // Upstreams are replaced, and their news waits at the keeper that they told.
+            // Upstreams are replaced, and the streams of the keeper that has received their
+            // announcements delay what it passes on.
             let zone = at / SLOW_SIZE;
-            let ear = zone * SLOW_SIZE + at % SLOW_KEEPERS;
-            world.ear = Some(ear);
+            let keeper = zone * SLOW_SIZE + at % SLOW_KEEPERS;
+            world.ear = Some(keeper);
             for up in zone * UPSTREAMS..zone * UPSTREAMS + UPSTREAMS / 2 {
-                let life: u32 = world.rng.random();
-                world.upstreams[up].crash(&format!("i-{up}-{life}"));
+                let suffix: u32 = world.rng.random();
+                world.upstreams[up].crash(&format!("i-{up}-{suffix}"));
                 world.announce(up, Phase::Serving);
             }
-            (0..all).map(|other| (ear, other)).collect()
+            (0..all).map(|other| (keeper, other)).collect()
         }
         _ => {
             world.late = 15;
             return Box::new(|world| world.late = 0);
         }
     };
-    let fills = world.rng.random_range(0..2) == 0;
+    let growing = world.rng.random_range(0..2) == 0;
     for (from, to) in &pairs {
-        if fills {
+        if growing {
             world.fill_up(*from, *to, ms);
         } else {
             world.slow(*from, *to, ms);
@@ -244,7 +251,7 @@
     })
 }
 
-/// A job each 20 ms for `ms` milliseconds, the three kinds (tasks and their length) in turn.
+/// Submits a job every 20 ms for `ms` milliseconds, with the three kinds of jobs in turn.
 fn load(world: &mut World, kinds: Kinds, ms: u64) {
     const GAP: u64 = 20;
     for at in 0..ms / GAP {
@@ -254,71 +261,77 @@
         let id = world.submit(zone, count, cpu, length);
         let fatal = world.fatal > 0 && world.rng.random_range(0..world.fatal) == 0;
         if fatal && let Some(request) = world.requests.get_mut(&id) {
-            // Its client waits for long.
+            // The client waits for 30 s.
             request.job.patience = 30_000;
             world.crashing.insert(id.clone());
         }
         world.run(GAP);
         if world.rng.random_range(0..20) == 0 {
-            world.leave(&id);
+            world.disconnect(&id);
         }
     }
 }
 
-/// Kinds of jobs: how many tasks, and their length, milliseconds.
+/// Kinds of jobs: the number of tasks, and their length in milliseconds.
 type Kinds = [(u32, u64); 3];
 
+/// The parameters of a run with random faults.
 struct Plan {
-    /// Instances of a zone.
+    /// The number of instances of a zone.
     size: usize,
     fault: fn(&mut World) -> End,
     kinds: Kinds,
-    /// Faults last this many times longer.
-    pace: u64,
-    /// What is done once the faults are over.
-    calm: fn(&mut World),
+    /// The factor by which faults last longer.
+    duration_factor: u64,
+    /// The function to call once the faults are over.
+    recover: fn(&mut World),
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let world = World::new(seed, ZONES, ENTRIES, UPSTREAMS);
     let kinds = [(8, 60), (2, 200), (4, 900)];
-    play_with(world, seed, &Plan { size: ENTRIES + 1, fault, kinds, pace: 1, calm: |_| {} });
+    run_plan(
+        world,
+        seed,
+        &Plan { size: ENTRIES + 1, fault: start_fault, kinds, duration_factor: 1, recover: |_| {} },
+    );
 }
 
-fn play_slow(seed: u64, kinds: Kinds) {
+fn run_slow(seed: u64, kinds: Kinds) {
     let mut world = World::with_keepers(seed, ZONES, SLOW_KEEPERS, ENTRIES, UPSTREAMS);
-    world.lossy = true;
-    play_with(
+    world.redial_loss = true;
+    run_plan(
         world,
         seed,
-        &Plan { size: SLOW_SIZE, fault: slow_fault, kinds, pace: 2, calm: |_| {} },
+        &Plan { size: SLOW_SIZE, fault: slow_fault, kinds, duration_factor: 2, recover: |_| {} },
     );
 }
 
-/// Upstreams that guard nothing shrink and grow, and one job in a hundred brings down each upstream
-/// that starts it.
-fn play_fatal(seed: u64) {
+/// Runs a seed with upstreams whose room shrinks and grows and which refuse no task for want of
+/// room, and with one job in 100 that crashes each upstream that starts it.
+fn run_fatal(seed: u64) {
     let mut world = World::new(seed, ZONES, ENTRIES, UPSTREAMS);
     world.fatal = 100;
     for upstream in &mut world.upstreams {
         upstream.guards = false;
     }
     let kinds = [(8, 60), (2, 200), (4, 900)];
-    let plan = Plan { size: ENTRIES + 1, fault: fatal_fault, kinds, pace: 3, calm: |_| {} };
-    let world = play_with(world, seed, &plan);
-    let over: u32 = world.upstreams.iter().map(|upstream| upstream.over).sum();
-    assert_eq!(over, 0, "seed {seed}: starts over a room that had shrunk");
+    let plan =
+        Plan { size: ENTRIES + 1, fault: fatal_fault, kinds, duration_factor: 3, recover: |_| {} };
+    let world = run_plan(world, seed, &plan);
+    let overcommits: u32 = world.upstreams.iter().map(|upstream| upstream.overcommits).sum();
+    assert_eq!(overcommits, 0, "seed {seed}: an upstream started tasks beyond its shrunken room");
     let fatal = world.begun.iter().filter(|(task, _)| world.crashing.contains(&task.job));
     for (task, starts) in fatal {
         assert!(*starts <= MOST_STARTS, "seed {seed}: {starts} starts of {task:?}");
     }
 }
 
-fn play_with(mut world: World, seed: u64, plan: &Plan) -> World {
-    let Plan { size, fault, kinds, pace, calm } = *plan;
+fn run_plan(mut world: World, seed: u64, plan: &Plan) -> World {
+    let Plan { size, fault, kinds, duration_factor, recover } = *plan;
     world.run(3_000);
     let mut version = 0;
-    let mut held = 0;
+    let mut acknowledged = 0;
     for _ in 0..4 {
         let count = world.rng.random_range(1..4);
         let mut ends = Vec::new();
@@ -330,10 +343,10 @@
         version += 1;
         let keeper = world.rng.random_range(0..ZONES) * size;
         let ticket = world.publish(keeper, version, "text");
-        let time = world.rng.random_range(300..2_500) * pace;
+        let time = world.rng.random_range(300..2_500) * duration_factor;
         load(&mut world, kinds, time);
         if world.reply(ticket) == Some(&Reply::Noted) {
-            held = version;
+            acknowledged = version;
         }
         for end in ends {
             end(&mut world);
@@ -347,55 +360,61 @@
         }
     }
     world.fatal = 0;
-    calm(&mut world);
+    recover(&mut world);
     world.run(6_000);
     let before = world.complete();
     load(&mut world, kinds, 1_000);
     world.run(4_000);
     assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
     let more = world.complete() - before;
-    assert!(more > 20, "seed {seed}: work goes on after the faults, {more} more complete");
+    assert!(more > 20, "seed {seed}: only {more} jobs completed after the faults");
     for instance in &world.instances {
         let core = instance.core.as_ref().unwrap();
-        assert!(core.document().version >= held, "seed {seed}: {} is behind", instance.card.name);
+        assert!(
+            core.document().version >= acknowledged,
+            "seed {seed}: {} has an older configuration",
+            instance.card.name
+        );
     }
     world
 }
 
 #[test]
 fn seeds() {
-    let first = number("FIRST_SEED", 1);
-    for seed in first..first + number("SEEDS", 12) {
-        play(seed);
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("SEEDS", 12) {
+        run_seed(seed);
     }
 }
 
 #[test]
 fn evacuated_seeds() {
-    let first = number("FIRST_SEED", 1);
-    for seed in first..first + number("SEEDS", 12) {
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("SEEDS", 12) {
         let world = World::new(seed, ZONES, ENTRIES, UPSTREAMS);
         let kinds = [(8, 60), (2, 200), (4, 900)];
-        let (size, fault, calm) =
-            (ENTRIES + 1, evacuation_fault as fn(&mut World) -> End, take_back);
-        let world = play_with(world, seed, &Plan { size, fault, kinds, pace: 1, calm });
+        let (size, fault, recover) =
+            (ENTRIES + 1, evacuation_fault as fn(&mut World) -> End, readmit_zones);
+        let world =
+            run_plan(world, seed, &Plan { size, fault, kinds, duration_factor: 1, recover });
         for instance in &world.instances {
-            let held = instance.core.as_ref().map(|core| core.evacuations().zones.len());
-            assert_eq!(held, Some(0), "seed {seed}: {}", instance.card.name);
+            let evacuated = instance.core.as_ref().map(|core| core.evacuations().zones.len());
+            assert_eq!(evacuated, Some(0), "seed {seed}: {}", instance.card.name);
         }
     }
 }
 
 #[test]
 fn fatal_seeds() {
-    let first = number("FIRST_SEED", 1);
-    for seed in first..first + number("SEEDS", 12) {
-        play_fatal(seed);
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("SEEDS", 12) {
+        run_fatal(seed);
     }
 }
 
-/// Entries too weak to schedule their zones, which keepers of other zones adopt.
-fn play_weak(seed: u64) {
+/// Runs a seed with entries that are too weak to schedule their zones, so that keepers of other
+/// zones adopt these.
+fn run_weak(seed: u64) {
     let mut world = World::with_keepers(seed, ZONES, 1, WEAK_ENTRIES, UPSTREAMS);
     world.cores = UPSTREAMS as u64;
     for at in 0..world.instances.len() {
@@ -403,14 +422,21 @@
         world.start(at);
     }
     let kinds = [(8, 60), (2, 200), (4, 900)];
-    play_with(
+    run_plan(
         world,
         seed,
-        &Plan { size: WEAK_ENTRIES + 1, fault: weak_fault, kinds, pace: 2, calm: |_| {} },
+        &Plan {
+            size: WEAK_ENTRIES + 1,
+            fault: weak_fault,
+            kinds,
+            duration_factor: 2,
+            recover: |_| {},
+        },
     );
 }
 
-/// A fault that keepers have more often than others.
+/// Starts a random fault, more often of a keeper than of another instance, and returns the function
+/// that ends it.
 fn weak_fault(world: &mut World) -> End {
     let keeper = world.rng.random_range(0..ZONES) * (WEAK_ENTRIES + 1);
     match world.rng.random_range(0..4) {
@@ -422,41 +448,42 @@
             world.freeze(keeper);
             Box::new(move |world| world.thaw(keeper))
         }
-        _ => fault(world),
+        _ => start_fault(world),
     }
 }
 
 #[test]
 fn weak_seeds() {
-    let first = number("FIRST_SEED", 1);
-    for seed in first..first + number("SEEDS", 12) {
-        play_weak(seed);
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("SEEDS", 12) {
+        run_weak(seed);
     }
 }
 
 #[test]
 fn slow_seeds() {
-    let first = number("FIRST_SEED", 1);
-    for seed in first..first + number("SEEDS", 12) {
-        play_slow(seed, [(1, 100), (1, 300), (1, 900)]);
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("SEEDS", 12) {
+        run_slow(seed, [(1, 100), (1, 300), (1, 900)]);
     }
 }
 
 #[test]
 fn regressions() {
-    // 111: a claim that nobody stood by (`takeover::claim_of_nobody`).
-    play_slow(111, [(12, 60), (5, 200), (6, 900)]);
-    // 286: a task that was given back ran there still, left over from the submission before, whose
-    // entry was lost; when that run ended the task started again beside the one elsewhere.
-    play(286);
+    // 111: a claim whose holder did not schedule the zone (`takeover::claim_of_nobody`).
+    run_slow(111, [(12, 60), (5, 200), (6, 900)]);
+    // 286: a scheduler gave a task back while the task still ran there, left over from the previous
+    // submission, whose entry was lost. When that run ended, the task started again beside its run
+    // in another place.
+    run_seed(286);
 }
 
 #[test]
 fn slow_shared_seeds() {
-    // Jobs too wide for what is free in one zone: their tasks are with several schedulers, each of
-    // which may be lost, frozen, cut off or late.
-    let first = number("FIRST_SEED", 1);
-    for seed in first..first + number("SEEDS", 12) {
-        play_slow(seed, [(12, 60), (5, 200), (3, 900)]);
+    // These jobs have more tasks than fit into the free room of one zone, so several schedulers
+    // share them, each of which may be lost, frozen, cut off or late.
+    let first = env_number("FIRST_SEED", 1);
+    for seed in first..first + env_number("SEEDS", 12) {
+        run_slow(seed, [(12, 60), (5, 200), (3, 900)]);
     }
 }
--- a/crates/dispatch/tests/sample/mod.rs
+++ b/crates/dispatch/tests/sample/mod.rs
@@ -1,4 +1,4 @@
-//! An upstream and a job, as the tests of one scheduler have them.
+//! Sample upstreams, schedulers and jobs for tests of a single scheduler.
 
 use dispatch::{
     job::{Job, Step},
@@ -7,10 +7,10 @@
     upstream::{Phase, Record, Room},
 };
 
-/// The clock of upstreams when the tests begin, milliseconds.
+/// The clock of the upstreams when a test begins, milliseconds.
 pub const CLOCK: u64 = 500_000;
 
-/// An upstream with room for two tasks.
+/// Returns the record of an upstream with room for two tasks.
 pub fn record(id: &str) -> Record {
     let room = Room { cpu: 32_000, memory: 64_000, accelerators: 0 };
     Record {
@@ -26,8 +26,8 @@
     }
 }
 
-/// A scheduler of these upstreams, which it has not asked yet.
-#[allow(dead_code, reason = "not every test has one")]
+/// Returns a scheduler with these upstreams, which has not called any of them yet.
+#[allow(dead_code, reason = "not every test uses it")]
 pub fn scheduler(upstreams: &[&str], now: u64) -> Sched {
     let mut sched = Sched::new(1_000, 950, now);
     for id in upstreams {
@@ -36,7 +36,7 @@
     sched
 }
 
-/// A job of `count` tasks of 200 ms.
+/// Returns a job of `count` tasks of 200 ms each.
 pub fn job(id: &str, count: u32) -> Job {
     let need = Room { cpu: 14_000, memory: 64, accelerators: 0 };
     Job {
@@ -54,8 +54,8 @@
     }
 }
 
-/// A question for a job of one task that was handed over once.
-#[allow(dead_code, reason = "not every test asks")]
+/// Returns the query for a job of one task that was handed over once.
+#[allow(dead_code, reason = "not every test uses it")]
 pub fn awaited(job: &str) -> Awaited {
     Awaited { job: job.into(), number: 0, count: 1 }
 }
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -1,4 +1,5 @@
-//! The loss of schedulers, entries and links: nothing runs twice at a time, and work goes on.
+//! The loss of schedulers, entries and links: no task runs twice at a time, and jobs still
+//! complete.
 
 mod world;
 
@@ -6,7 +7,7 @@
 use rand::RngExt as _;
 use world::World;
 
-/// Jobs of all zones for `ms` milliseconds, one each `gap` milliseconds.
+/// Submits a job every `gap` milliseconds for `ms` milliseconds, to the zones in turn.
 fn load(world: &mut World, zones: usize, ms: u64, gap: u64) {
     for at in 0..ms / gap {
         let zone = at as usize % zones;
@@ -36,31 +37,31 @@
 
 #[test]
 fn quiet_lists() {
-    // Heartbeats carry digests; while nothing changes no list is sent.
+    // Heartbeats carry digests, so instances send no lists while nothing changes.
     let mut world = ready(1);
-    let mut check = |what: &str| {
+    let mut check = |label: &str| {
         world.run(40_000);
         world.sent.clear();
         world.run(5_000);
         let kinds: Vec<_> = world.sent.keys().copied().collect();
-        assert_eq!(kinds, ["agree", "ping"], "{what}: {:?}", world.sent);
+        assert_eq!(kinds, ["agree", "ping"], "{label}: {:?}", world.sent);
         world.kill(8);
     };
-    check("all are there");
-    check("one is gone for good");
+    check("all instances are up");
+    check("one instance is lost for good");
 }
 
 #[test]
 fn few_streams() {
-    // Of 45 instances an entry talks to the keepers, to three deputies of its zone and to two
-    // schedulers; streams to everybody would be 44 for each.
+    // Of 45 instances an entry opens streams only to the keepers, to three deputies of its zone and
+    // to two schedulers; streams to all instances would be 44 for each.
     let mut world = World::new(3, 3, 14, 8);
     world.run(3_000);
     load(&mut world, 3, 2_000, 40);
     let of = |at: usize| world.streams.iter().filter(|(from, _)| *from == at).count();
     let mut counts: Vec<_> = (0..45).filter(|at| at % 15 > 0).map(of).collect();
     counts.sort_unstable();
-    // Deputies talk to all of their zone.
+    // Deputies open streams to all instances of their zone.
     let (entries, deputies) = counts.split_at(42 - 9);
     assert!(entries.iter().all(|count| *count <= 9), "{entries:?}");
     assert!(deputies.iter().all(|count| *count <= 20), "{deputies:?}");
@@ -70,7 +71,7 @@
 
 #[test]
 fn lists_end() {
-    // Two instances that each lack upstreams of the other tell them once, not for ever.
+    // Two instances that each lack upstreams of the other send them once instead of repeatedly.
     let mut world = ready(2);
     for other in 1..9 {
         world.cut(0, other, true);
@@ -106,7 +107,7 @@
 
 #[test]
 fn entry_restarts() {
-    // The client's next try may come to another zone while its first entry is back in 200 ms.
+    // The client's retry may reach another zone, while its first entry is back after 200 ms.
     for seed in 0..20 {
         let mut world = ready(seed);
         load(&mut world, 3, 600, 15);
@@ -126,7 +127,7 @@
 
 #[test]
 fn handed_in_late() {
-    // An entry hands its jobs in again just as the new scheduler stops their runs.
+    // An entry submits its jobs again just as the new scheduler stops their runs.
     for delay in (700..1_100).step_by(10) {
         let mut world = ready(delay);
         load(&mut world, 1, 300, 10);
@@ -162,7 +163,7 @@
 
 #[test]
 fn scheduled_soon() {
-    // After a loss of everything the zones have schedulers again 400 ms after the start.
+    // After the loss of all instances the zones have schedulers again 400 ms after the restart.
     let mut world = ready(4);
     for at in 0..9 {
         world.kill(at);
@@ -179,12 +180,12 @@
 
 #[test]
 fn restart_beside_scheduler() {
-    // An instance that starts while its zone has a scheduler leaves the zone to it.
+    // An instance that starts while its zone has a scheduler does not claim the zone.
     let mut world = ready(4);
     world.kill(0);
     world.run(2_000);
     let holder = world.schedulers(0);
-    // A keeper takes the zone back from an entry, but later (`handed_back`).
+    // A keeper does take the zone back from an entry, but only later (see `handed_back`).
     world.start(0);
     world.run(900);
     assert_eq!(world.schedulers(0), holder);
@@ -200,8 +201,8 @@
 
 #[test]
 fn handed_back() {
-    // Entries have little processor time and clients of their own: one that scheduled while the
-    // keeper was gone does so no longer than it must.
+    // Entries have little processor time and serve clients of their own, so an entry that schedules
+    // its zone in place of a lost keeper does so no longer than necessary.
     for seed in 0..10 {
         let mut world = ready(seed);
         load(&mut world, 3, 600, 40);
@@ -213,7 +214,7 @@
         assert_eq!(world.schedulers(0), [0], "seed {seed}: the keeper schedules again");
         world.run(3_000);
         assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
-        // The entry that had the zone hands its jobs over, and none is lost by that.
+        // The entry that scheduled the zone hands its jobs over, and the handover loses none.
         let (complete, all) = (world.complete(), world.requests.len());
         assert!(complete * 100 >= all * 97, "seed {seed}: {complete} of {all}");
     }
@@ -221,8 +222,9 @@
 
 #[test]
 fn both_claim() {
-    // Messages are late, so the entry hears from the upstreams that somebody has a higher claim
-    // before it hears from the keeper. Each going above the other in turn would stop the zone.
+    // Messages are late, so the entry learns from the upstreams that another instance has a higher
+    // claim before it receives the keeper's claim. If the two outranked each other in turn,
+    // the zone would stand still.
     for seed in 0..10 {
         let mut world = ready(seed);
         load(&mut world, 3, 600, 40);
@@ -245,8 +247,8 @@
 
 #[test]
 fn empty_table() {
-    // A scheduler that knows no upstream of its zone gets them from an instance of another zone,
-    // where they announce themselves.
+    // A scheduler that knows no upstream of its zone gets them from the instance of another zone to
+    // which they announce themselves.
     for seed in 0..10 {
         let mut world = ready(seed);
         world.ear = Some(0);
@@ -270,13 +272,14 @@
 
 #[test]
 fn clock_back() {
-    // An instance that starts again with its time of day set back is believed all the same.
+    // Other instances accept the messages of an instance that restarts with its wall clock set
+    // back.
     for seed in 0..10 {
         let mut world = ready(seed);
         for at in [0, 1] {
             world.kill(at);
         }
-        world.skew = -60_000;
+        world.clock_skew = -60_000;
         for at in [0, 1] {
             world.start(at);
         }
@@ -331,9 +334,9 @@
 
 #[test]
 fn successor_just_started() {
-    // All keepers are away and the entries have started without them, so that nobody knows an
-    // upstream. The keepers come back while the entry that schedules the zone is told to end, and
-    // it hears of upstreams before the keeper that takes the zone from it does.
+    // All keepers are down and the entries have restarted without them, so that no instance knows
+    // any upstream. The keepers restart while the entry that schedules the zone drains, and this
+    // entry learns of upstreams before the keeper that takes the zone over from it does.
     for seed in 0..400 {
         let mut world = ready(seed);
         for at in [0, 3, 6] {
@@ -373,11 +376,12 @@
 
 #[test]
 fn claim_of_nobody() {
-    // A zone had no scheduler for good, and its jobs were handed to an instance that did not want
-    // them, again and again. An instance was cut off from its zone, claimed it, found upstreams
-    // owned by the scheduler on the other side, and left it alone. Its claim stood: once the cut was
-    // over it outranked the scheduler's, which yielded to it (`random_faults`, shared seed 111: no
-    // scheduler in zone 2 from 18.3 s on, 7,888 hand-overs of 50 jobs in 5 s).
+    // An instance that yields its zone must not leave its claim behind. An instance was cut off
+    // from its zone, claimed it, found that the scheduler on the other side owned the upstreams,
+    // and yielded, but its claim stayed valid. Once the cut was over, that claim outranked the
+    // scheduler's, which yielded too: the zone had no scheduler for good, and its jobs were handed
+    // again and again to an instance that did not accept them (`random_faults`, shared seed 111: no
+    // scheduler in zone 2 from 18.3 s on, 7,888 handovers of 50 jobs in 5 s).
     let mut world = World::with_keepers(1, 1, 2, 3, 6);
     world.run(3_000);
     assert_eq!(world.schedulers(0), [0]);
@@ -387,8 +391,8 @@
             world.cut(other, 1, cut);
         }
     };
-    // The first time the scheduler goes above the token of the one that is cut off, so that claims
-    // are ahead of the time of day. Then orders get lost, each of which raises a token.
+    // In the first cut the scheduler claims above the token of the instance that is cut off, so
+    // that claims are ahead of the wall clock. Then orders are lost, each of which raises a token.
     cut(&mut world, true);
     world.run(4_000);
     cut(&mut world, false);
@@ -403,7 +407,7 @@
     assert!(world.notes.contains_key("zone: Yielded, cut off from most of it."));
     cut(&mut world, false);
     world.run(3_000);
-    assert_eq!(world.schedulers(0).len(), 1, "somebody schedules the zone");
+    assert_eq!(world.schedulers(0).len(), 1, "one instance schedules the zone");
     let before = world.complete();
     load(&mut world, 1, 1_000, 100);
     world.run(3_000);
@@ -411,39 +415,40 @@
     assert_eq!(world.complete(), before + 10);
 }
 
-/// Jobs in time of those that came in the 800 ms after everything was without power, and all of them.
-fn after_power_loss(remembered: bool) -> (usize, usize) {
+/// Counts the jobs that clients first submitted in the 800 ms after a power loss of all instances.
+/// Returns how many of them completed in time, and how many there were.
+fn after_power_loss(stored: bool) -> (usize, usize) {
     let mut world = ready(1);
     load(&mut world, 3, 1_100, 50);
     let all = 0..world.instances.len();
     all.clone().for_each(|at| world.kill(at));
-    if !remembered {
+    if !stored {
         world.instances.iter_mut().for_each(|instance| instance.known = event::Known::default());
     }
     world.run(1_000);
     all.for_each(|at| world.start(at));
-    let back = world.now;
+    let restart = world.now;
     load(&mut world, 3, 800, 20);
     world.run(4_000);
     assert_eq!(world.faults, Vec::<String>::new());
-    let came = || world.requests.values().filter(|request| request.first >= back);
-    let good = came().filter(|request| {
+    let submitted = || world.requests.values().filter(|request| request.first >= restart);
+    let in_time = submitted().filter(|request| {
         let limit = request.first + request.job.objective * MS;
         matches!(&request.verdict, Some((Verdict::Complete, at)) if *at <= limit)
     });
-    (good.count(), came().count())
+    (in_time.count(), submitted().count())
 }
 
 #[test]
 fn known_again() {
-    // After a loss of power everywhere callers were refused for want of room for 0.7 s: upstreams
-    // announce themselves only each second and a half, and schedulers knew few of them. Keepers keep
-    // whom they knew. Here the next announcements come after 0.9 s: 29 of 40 jobs are in time, and 6
-    // where nothing was kept.
+    // After a power loss of all instances, callers were refused for lack of room for 0.7 s, because
+    // upstreams announce themselves only every 1.5 s and the schedulers knew few of them. Keepers
+    // therefore store the peers and upstreams that they know. In this test the next announcements
+    // come after 0.9 s: 29 of 40 jobs are in time, and 6 without the stored data.
     let (with, all) = after_power_loss(true);
     let (without, _) = after_power_loss(false);
     assert!(
         with >= 26 && with > without + 15,
-        "{with} in time of {all}, {without} where nothing was kept"
+        "{with} in time of {all}, {without} without the stored data"
     );
 }
--- a/crates/dispatch/tests/world/call.rs
+++ b/crates/dispatch/tests/world/call.rs
@@ -1,4 +1,4 @@
-//! Upstreams as instances meet them: announcements, calls and their answers, crashes.
+//! The traffic between upstreams and instances: announcements, calls, answers and crashes.
 
 use dispatch::{
     event::Event,
@@ -9,10 +9,10 @@
 use rand::RngExt as _;
 use state::name::Name;
 
-use super::{CRASH, REVIVAL, What, World};
+use super::{Action, CRASH_DELAY, RESTART_DELAY, World};
 
 impl World {
-    /// An upstream tells one of the keepers about itself.
+    /// Makes an upstream announce itself to a random keeper that it can reach.
     pub fn announce(&mut self, at: usize, phase: Phase) {
         let keepers: Vec<_> = (0..self.instances.len())
             .filter(|i| self.instances[*i].core.is_some() && !self.instances[*i].frozen)
@@ -51,13 +51,13 @@
             _ => 0,
         };
         let (number, fence, order) = (call.number, call.fence, call.order.clone());
-        if let Some(outcome) = self.upstreams[at].take(call, from, spec, self.now) {
+        if let Some(outcome) = self.upstreams[at].handle_call(call, from, spec, self.now) {
             if let (Order::Start { task, .. }, Outcome::Done(_)) = (&order, &outcome) {
                 self.starts.insert(task.clone(), self.now);
                 *self.begun.entry(task.clone()).or_default() += 1;
                 if self.crashing.contains(&task.job) {
                     let id = self.upstreams[at].id.clone();
-                    self.push(self.now + CRASH, What::Crash { at, id });
+                    self.push(self.now + CRASH_DELAY, Action::Crash { at, id });
                 }
             }
             self.check();
@@ -65,12 +65,12 @@
         }
     }
 
-    /// An upstream goes down with all that runs there, and comes back as another life.
+    /// Crashes an upstream and all tasks that run there. It restarts later under another id.
     pub(super) fn crash(&mut self, at: usize, id: &str) {
         if self.upstreams[at].id == id && self.upstreams[at].up {
             self.upstreams[at].up = false;
             self.upstreams[at].waiting.clear();
-            self.push(self.now + REVIVAL, What::Revive { at, id: id.to_owned() });
+            self.push(self.now + RESTART_DELAY, Action::Restart { at, id: id.to_owned() });
         }
     }
 
@@ -85,7 +85,7 @@
         if !self.walls.contains(&(at, to.0)) {
             self.push(
                 self.now + 300 + self.answer_lag,
-                What::Answer { to, number, fence, outcome },
+                Action::Answer { to, number, fence, outcome },
             );
         }
     }
--- a/crates/dispatch/tests/world/client.rs
+++ b/crates/dispatch/tests/world/client.rs
@@ -1,4 +1,4 @@
-//! Clients: the jobs that they hand in, and what they are told.
+//! Clients: the jobs that they submit and the verdicts that they receive.
 
 use dispatch::{
     event::Event,
@@ -9,16 +9,16 @@
 use rand::RngExt as _;
 use state::name::Name;
 
-use super::{RESEND, Request, What, World, upstream::MS, zone_name};
+use super::{Action, RETRY_DELAY, Request, World, upstream::MS, zone_name};
 
 impl World {
-    /// A client of `zone` hands in a job of one step whose length is known.
+    /// Submits a job of one step from a client in `zone`, with an exact estimate of its length.
     pub fn submit(&mut self, zone: usize, count: u32, cpu: u64, length: u64) -> Name {
         self.submit_as(zone, count, cpu, length, length, 0)
     }
 
-    /// A client of `zone` hands in a job of one step, with its estimate of the length, to a queue
-    /// of this priority.
+    /// Submits a job of one step from a client in `zone` to the queue of a priority, with an
+    /// estimate of its length.
     pub fn submit_as(
         &mut self,
         zone: usize,
@@ -52,11 +52,11 @@
         let request =
             Request { job, zone, at: None, first: self.now, sent: self.now, verdict: None };
         self.requests.insert(id.clone(), request);
-        self.push(self.now, What::Submit { id: id.clone() });
+        self.push(self.now, Action::Submit { id: id.clone() });
         id
     }
 
-    /// A client of `zone` hands in a job of two steps with two tasks each.
+    /// Submits a job of two steps with two tasks each from a client in `zone`.
     pub fn submit_steps(&mut self, zone: usize, cpu: u64, length: u64) -> Name {
         let id = self.submit(zone, 2, cpu, length);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -66,17 +66,17 @@
         id
     }
 
-    /// The client hands its job in once more, in this zone, as if it had got no answer.
+    /// Submits a job again, in `zone`, as a client does that has received no answer.
     pub fn resubmit(&mut self, id: &Name, zone: usize) {
         if let Some(request) = self.requests.get_mut(id) {
             request.zone = zone_name(zone);
             request.at = None;
             request.verdict = None;
         }
-        self.push(self.now, What::Submit { id: id.clone() });
+        self.push(self.now, Action::Submit { id: id.clone() });
     }
 
-    pub(super) fn hand_in(&mut self, id: &Name) {
+    pub(super) fn send_job(&mut self, id: &Name) {
         let Some(request) = self.requests.get(id) else { return };
         if request.verdict.is_some() || request.at.is_some() {
             return;
@@ -92,16 +92,17 @@
         let entries = if home.is_empty() { entries } else { home };
         if entries.is_empty() {
             let id = id.clone();
-            return self.push(self.now + RESEND, What::Submit { id });
+            return self.push(self.now + RETRY_DELAY, Action::Submit { id });
         }
         let at = entries[self.rng.random_range(0..entries.len())];
         if self.instances[at].frozen {
-            // The request waits in the instance's buffers; the client waits, too.
+            // A frozen instance reads nothing: the request stays in its buffers, and the client
+            // waits.
             let id = id.clone();
-            return self.push(self.now + RESEND, What::Submit { id });
+            return self.push(self.now + RETRY_DELAY, Action::Submit { id });
         }
-        self.order += 1;
-        let ticket = self.order;
+        self.sequence += 1;
+        let ticket = self.sequence;
         self.tickets.insert(ticket, id.clone());
         if let Some(request) = self.requests.get_mut(id) {
             request.at = Some(at);
@@ -111,8 +112,8 @@
         }
     }
 
-    /// The client gives up.
-    pub fn leave(&mut self, id: &Name) {
+    /// Disconnects the client of a job, which gives up.
+    pub fn disconnect(&mut self, id: &Name) {
         let tickets: Vec<_> =
             self.tickets.iter().filter(|(_, other)| *other == id).map(|(t, _)| *t).collect();
         for ticket in tickets {
@@ -124,26 +125,34 @@
         self.requests.remove(id);
     }
 
-    pub(super) fn verdict(&mut self, ticket: u64, verdict: Verdict) {
+    pub(super) fn record_verdict(&mut self, ticket: u64, verdict: Verdict) {
         let Some(id) = self.tickets.remove(&ticket) else { return };
-        // An attempt that was lost with its entry was not refused; what is said of this one counts.
+        // A submission that was lost together with its entry was not refused, so the verdict is
+        // checked only against the starts since the current submission.
         let since = self.requests.get(&id).map_or(0, |request| request.sent);
         let ran = self.starts.iter().any(|(task, at)| task.job == id && *at >= since);
         if matches!(verdict, Verdict::NotRun(_)) && ran {
-            self.faults.push(format!("{} ms: {id} is said not to have run", self.now / MS));
+            self.faults.push(format!(
+                "{} ms: {id} was reported as not run, but a task of it has run",
+                self.now / MS
+            ));
         }
         if let Some(request) = self.requests.get_mut(&id) {
             let count = request.job.steps[0].count;
             let task = |index| Task { job: id.clone(), step: 0, index };
-            let undone = (0..count).map(task).find(|task| !self.done.contains(task));
-            if let (Verdict::Complete, Some(task)) = (&verdict, undone) {
-                self.faults.push(format!("{} ms: complete without {task:?}", self.now / MS));
+            let unfinished = (0..count).map(task).find(|task| !self.done.contains(task));
+            if let (Verdict::Complete, Some(task)) = (&verdict, unfinished) {
+                self.faults.push(format!(
+                    "{} ms: reported as complete, but {task:?} has not finished",
+                    self.now / MS
+                ));
             }
             request.verdict = Some((verdict, self.now));
         }
     }
 
-    /// Jobs that were answered as complete within their objective, and all.
+    /// Returns the number of jobs that were reported as complete within their objective, and the
+    /// number of all jobs.
     pub fn in_time(&self) -> (usize, usize) {
         let good = self.requests.values().filter(|request| {
             let limit = request.first + request.job.objective * MS;
@@ -152,7 +161,7 @@
         (good.count(), self.requests.len())
     }
 
-    /// How many jobs were answered as complete.
+    /// Returns the number of jobs that were reported as complete.
     pub fn complete(&self) -> usize {
         let complete = |r: &&Request| matches!(r.verdict, Some((Verdict::Complete, _)));
         self.requests.values().filter(complete).count()
--- a/crates/dispatch/tests/world/effect.rs
+++ b/crates/dispatch/tests/world/effect.rs
@@ -1,4 +1,4 @@
-//! What comes of an instance's decisions.
+//! Applies the outputs of an instance to the simulation.
 
 use dispatch::{
     event::{Event, Measure, Output, Reply},
@@ -8,7 +8,7 @@
 };
 use rand::RngExt as _;
 
-use super::{What, World, zone_name};
+use super::{Action, World, zone_name};
 
 impl World {
     pub(super) fn handle(&mut self, at: usize, event: Event) {
@@ -18,18 +18,18 @@
         let outputs = core.handle(event, now);
         *self.spent.entry(at).or_default() += began.elapsed();
         for output in outputs {
-            self.put(at, output);
+            self.apply(at, output);
         }
     }
 
-    fn put(&mut self, at: usize, output: Output) {
+    fn apply(&mut self, at: usize, output: Output) {
         if let Some(id) = &self.trace {
             let text = format!("{output:?}");
             if text.contains(id.as_str()) || matches!(output, Output::Note(_)) {
                 println!("{:>7} ms {} {text}", self.now / MS, self.instances[at].card.name);
             }
         }
-        let life = self.instances[at].life;
+        let generation = self.instances[at].generation;
         match output {
             Output::Send(to, body) => {
                 *self.sent.entry(body.kind()).or_default() += 1;
@@ -37,25 +37,25 @@
                     self.streams.insert((at, to));
                     let same = self.instances[to].card.zone == self.instances[at].card.zone;
                     let delay = if same { 200 } else { 900 };
-                    let due = self.arrival(at, to, self.now + delay + self.busy);
-                    let due = self.late(at, to, due);
-                    self.count(at, true, &body);
-                    if self.silent.contains(&(at, to)) {
+                    let due = self.arrival_time(at, to, self.now + delay + self.busy);
+                    let due = self.add_jitter(at, to, due);
+                    self.count_message(at, true, &body);
+                    if self.stalled.contains(&(at, to)) {
                         return;
                     }
-                    let stream = self.redialled.get(&(at, to)).copied().unwrap_or(0);
+                    let stream = self.redial_counts.get(&(at, to)).copied().unwrap_or(0);
                     if !self.links.is_slow(to) {
-                        self.push(due, What::Deliver { to, from: at, stream, body });
+                        self.push(due, Action::Deliver { to, from: at, stream, body });
                     } else if self.links.add(at, to, stream, body) {
-                        self.push(self.now + delay, What::Link { to });
+                        self.push(self.now + delay, Action::LinkTurn { to });
                     }
                 }
             }
             Output::Call(call) => {
                 *self.calls.entry(at).or_default() += 1;
                 let (number, fence) = (call.number, call.fence);
-                self.note_start(&call);
-                let patience = call.timeout * MS;
+                self.record_start(&call);
+                let timeout = call.timeout * MS;
                 let late = matches!(call.order, Order::Start { .. })
                     && self.late > 0
                     && self.rng.random_range(0..self.late) == 0;
@@ -64,51 +64,51 @@
                     && self.mute > 0
                     && self.rng.random_range(0..self.mute) == 0;
                 if !lost {
-                    self.push(self.now + delay, What::Arrive { call, from: (at, life) });
+                    self.push(self.now + delay, Action::Arrive { call, from: (at, generation) });
                 }
-                let expire = What::Expire { to: (at, life), number, fence };
-                self.push(self.now + patience, expire);
+                let expire = Action::Expire { to: (at, generation), number, fence };
+                self.push(self.now + timeout, expire);
             }
             Output::Save(number, save) => {
                 if let Some((mirror, _)) = &mut self.instances[at].disk {
                     mirror.apply(save);
                 }
-                self.push(self.now + 9 * MS, What::Saved { to: (at, life), number });
+                self.push(self.now + 9 * MS, Action::Saved { to: (at, generation), number });
             }
             Output::Redial(to) => {
                 *self.redials.entry(at).or_default() += 1;
                 if let Some(to) = self.instances.iter().position(|i| i.card.name == to) {
-                    self.silent.remove(&(at, to));
-                    if self.lossy {
-                        *self.redialled.entry((at, to)).or_default() += 1;
-                        self.last.remove(&(at, to));
+                    self.stalled.remove(&(at, to));
+                    if self.redial_loss {
+                        *self.redial_counts.entry((at, to)).or_default() += 1;
+                        self.last_arrival.remove(&(at, to));
                     }
                 }
             }
             Output::SaveKnown(known) => self.instances[at].known = known,
             Output::Note(note) => *self.notes.entry(note.text).or_default() += 1,
             Output::Measure(Measure::Breakdown(parts)) => self.splits.push(parts),
-            Output::Reply(ticket, Reply::Verdict(verdict)) => self.verdict(ticket, verdict),
+            Output::Reply(ticket, Reply::Verdict(verdict)) => self.record_verdict(ticket, verdict),
             Output::Reply(ticket, reply) => self.replies.push((ticket, reply)),
             _ => {}
         }
     }
 
-    /// Notes an order to start a task.
-    fn note_start(&mut self, call: &Call) {
+    /// Records the time of an order to start a task.
+    fn record_start(&mut self, call: &Call) {
         let upstream = self.upstreams.iter().find(|u| u.id == call.upstream.as_str());
         if let (Order::Start { .. }, Some(upstream)) = (&call.order, upstream) {
             self.orders.insert(upstream.zone.clone(), self.now);
         }
     }
 
-    /// When a task was last ordered to start in a zone, microseconds.
+    /// Returns when an instance last ordered a task to start in a zone, microseconds.
     pub fn last_start(&self, zone: usize) -> u64 {
         self.orders.get(zone_name(zone).as_str()).copied().unwrap_or(0)
     }
 
-    pub(super) fn count(&mut self, at: usize, sent: bool, body: &Body) {
-        if self.weigh {
+    pub(super) fn count_message(&mut self, at: usize, sent: bool, body: &Body) {
+        if self.count_flows {
             let kind = match body {
                 Body::Relay(_, _, inner) if inner.kind() == "ping" => "relayed ping",
                 Body::Relay(_, _, inner) if inner.kind() == "records" => "relayed records",
--- a/crates/dispatch/tests/world/fault.rs
+++ b/crates/dispatch/tests/world/fault.rs
@@ -1,4 +1,5 @@
-//! Instances and links that are lost, stopped and cut, and come back.
+//! Faults of instances and links: crashes, freezes, lost disks and network partitions, and the
+//! recovery from them.
 
 use coord::mirror::Mirror;
 use dispatch::{
@@ -9,38 +10,38 @@
 use rand::RngExt as _;
 use state::name::Name;
 
-use super::{RESEND, WALL, What, World, upstream::MS, zone_name};
+use super::{Action, RETRY_DELAY, WALL_CLOCK_MS, World, upstream::MS, zone_name};
 
 impl World {
-    /// Starts an instance, or starts it again with an empty memory.
+    /// Starts an instance, or restarts it without its former in-memory state.
     pub fn start(&mut self, at: usize) {
         let (now, seeds, seed) = (self.clock(), self.seeds.clone(), self.rng.random());
-        let life = (WALL + self.now / MS).saturating_add_signed(self.skew);
+        let incarnation = (WALL_CLOCK_MS + self.now / MS).saturating_add_signed(self.clock_skew);
         let instance = &mut self.instances[at];
-        instance.life += 1;
+        instance.generation += 1;
         instance.frozen = false;
-        instance.held.clear();
-        instance.card.incarnation = life;
-        let first = std::mem::replace(&mut instance.first, false);
-        let disk = instance.disk.as_ref().map(|(mirror, life)| core::Disk {
-            incarnation: *life,
+        instance.deferred.clear();
+        instance.card.incarnation = incarnation;
+        let first = std::mem::replace(&mut instance.first_start, false);
+        let disk = instance.disk.as_ref().map(|(mirror, incarnation)| core::Disk {
+            incarnation: *incarnation,
             recovered: mirror.recovered(),
             first,
             known: instance.known.clone(),
         });
         let (me, policy) = (instance.card.clone(), self.policy);
-        let times = if me.role == Role::Keeper { 5 } else { 1 };
-        let cores = self.cores * times;
+        let factor = if me.role == Role::Keeper { 5 } else { 1 };
+        let cores = self.cores * factor;
         let zones = Vec::new();
         let config = core::Config { me, seeds, lease: 950, seed, cores, policy, zones, disk };
         instance.core = Some(Core::new(config, now));
     }
 
-    /// Ends an instance's process.
+    /// Kills the process of an instance. The clients of its open requests retry later.
     pub fn kill(&mut self, at: usize) {
         self.instances[at].core = None;
-        self.instances[at].life += 1;
-        self.instances[at].held.clear();
+        self.instances[at].generation += 1;
+        self.instances[at].deferred.clear();
         self.instances[at].frozen = false;
         let now = self.now;
         let lost = self.requests.iter().filter(|(_, r)| r.at == Some(at) && r.verdict.is_none());
@@ -49,48 +50,50 @@
             if let Some(request) = self.requests.get_mut(&id) {
                 request.at = None;
             }
-            self.push(now + RESEND, What::Submit { id });
+            self.push(now + RETRY_DELAY, Action::Submit { id });
         }
     }
 
-    /// Tells an instance to end; it goes on until it is killed.
+    /// Asks an instance to drain; it keeps running until it is killed.
     pub fn drain(&mut self, at: usize) {
         self.handle(at, Event::Drain);
     }
 
-    /// Ends an instance's process, and its disk is empty when it starts again.
+    /// Kills the process of an instance and erases its disk.
     pub fn wipe(&mut self, at: usize) {
         self.kill(at);
-        let life = self.rng.random_range(2..u64::from(u32::MAX));
+        let incarnation = self.rng.random_range(2..u64::from(u32::MAX));
         if let Some(disk) = &mut self.instances[at].disk {
-            *disk = (Mirror::default(), life);
+            *disk = (Mirror::default(), incarnation);
         }
         self.instances[at].known = Known::default();
     }
 
-    /// An empty keeper takes the place of one that is gone, at another address.
+    /// Replaces a keeper by one with an empty disk at another address.
     pub fn move_keeper(&mut self, at: usize, name: &str) {
         self.wipe(at);
         let former = std::mem::replace(&mut self.instances[at].card.name, Name::new(name));
-        // Whoever starts from now on is told the present keepers.
+        // Instances that start from now on get the new address as a seed.
         for seed in self.seeds.iter_mut().filter(|seed| **seed == former) {
             *seed = Name::new(name);
         }
         self.start(at);
     }
 
+    /// Suspends an instance: its events are deferred until it thaws.
     pub fn freeze(&mut self, at: usize) {
         self.instances[at].frozen = true;
     }
 
+    /// Resumes a frozen instance and delivers its deferred events.
     pub fn thaw(&mut self, at: usize) {
         self.instances[at].frozen = false;
-        for what in std::mem::take(&mut self.instances[at].held) {
-            self.push(self.now + 1, what);
+        for action in std::mem::take(&mut self.instances[at].deferred) {
+            self.push(self.now + 1, action);
         }
     }
 
-    /// Cuts or joins the zones in `side` from all others.
+    /// Cuts a zone off from the instances and upstreams of all other zones, or reconnects it.
     pub fn cut_zone(&mut self, zone: usize, cut: bool) {
         let zone = zone_name(zone);
         for a in 0..self.instances.len() {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Cuts or joins one direction.
+    /// Cuts or reconnects one direction of the link between two instances.
     pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
         if cut {
             self.cuts.insert((from, to));
@@ -120,6 +123,7 @@
         }
     }
 
+    /// Cuts or reconnects both directions of the link between an upstream and an instance.
     pub fn wall(&mut self, upstream: usize, instance: usize, wall: bool) {
         if wall {
             self.walls.insert((upstream, instance));
--- a/crates/dispatch/tests/world/link.rs
+++ b/crates/dispatch/tests/world/link.rs
@@ -1,73 +1,76 @@
-//! Links with a bandwidth. The streams of an instance share its link in turns, as connections do;
-//! the messages of one stream follow one another.
+//! Links with a limited bandwidth. The streams to an instance share its link in round-robin turns,
+//! as connections do; the messages of one stream are sent one after another.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use dispatch::message::Body;
 
-/// What a stream sends before it is another one's turn, bytes: a few packets.
-const TURN: usize = 4_096;
+/// The most that a stream sends in one turn, bytes: a few packets.
+const TURN_BYTES: usize = 4_096;
 
-/// A message that has arrived: its sender, the stream that carried it, and itself.
+/// A message that has arrived: its sender, the stream that carried it, and the body.
 pub type Arrived = (usize, u64, Body);
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Debug)]
-struct Load {
-    left: usize,
-    /// Which of the streams from its sender carries it.
+struct Transfer {
+    /// Bytes that are still to be sent.
+    remaining: usize,
+    /// The stream from the sender that carries the message.
     stream: u64,
     body: Body,
 }
 
-/// The link of one receiver: what waits, stream by stream, and whose turn it is.
+/// The link of one receiver: the queued messages by sender. The front sender has the next turn.
 #[derive(Debug, Default)]
 struct Link {
-    streams: VecDeque<(usize, VecDeque<Load>)>,
+    streams: VecDeque<(usize, VecDeque<Transfer>)>,
 }
 
-/// The links of instances.
+/// The links of all instances.
 #[derive(Debug, Default)]
 pub struct Links {
-    /// Bytes that arrive at an instance in a millisecond; at others they take no time.
+    /// The bandwidth of instances with a limited link, bytes per millisecond. Transmission to other
+    /// instances takes no time.
     pub rates: BTreeMap<usize, u64>,
-    /// Bytes that each instance was sent, by kind of message.
+    /// Bytes that were sent to each instance, by kind of message.
     pub received: BTreeMap<(usize, &'static str), u64>,
     queues: BTreeMap<usize, Link>,
 }
 
 impl Links {
-    /// Whether messages to an instance take time.
+    /// Returns whether the link of an instance has a limited bandwidth.
     pub fn is_slow(&self, to: usize) -> bool {
         self.rates.contains_key(&to)
     }
 
-    /// Takes a message; true if the link was idle and its next turn is to be played now.
+    /// Queues a message; returns true if the link was idle, so that the caller has to start its
+    /// next turn.
     pub fn add(&mut self, from: usize, to: usize, stream: u64, body: Body) -> bool {
-        let left = coord::machine::encode(&body).len();
-        *self.received.entry((to, body.kind())).or_default() += left as u64;
+        let remaining = coord::machine::encode(&body).len();
+        *self.received.entry((to, body.kind())).or_default() += remaining as u64;
         let link = self.queues.entry(to).or_default();
         let idle = link.streams.is_empty();
-        let load = Load { left, stream, body };
+        let transfer = Transfer { remaining, stream, body };
         match link.streams.iter_mut().find(|(other, _)| *other == from) {
-            Some((_, waiting)) => waiting.push_back(load),
-            None => link.streams.push_back((from, VecDeque::from([load]))),
+            Some((_, waiting)) => waiting.push_back(transfer),
+            None => link.streams.push_back((from, VecDeque::from([transfer]))),
         }
         idle
     }
 
-    /// Plays one turn of a link; gives the time that it took, microseconds, and the message that
-    /// has arrived by its end. Nothing if the link is idle.
+    /// Runs one turn of a link. Returns its duration, microseconds, and the message whose
+    /// transmission it completes, if any; returns `None` if the link is idle.
     pub fn turn(&mut self, to: usize) -> Option<(u64, Option<Arrived>)> {
         let rate = *self.rates.get(&to)?;
         let link = self.queues.get_mut(&to)?;
         let (from, mut waiting) = link.streams.pop_front()?;
         let first = waiting.front_mut()?;
-        let sent = first.left.min(TURN);
-        first.left -= sent;
-        let whole = first.left == 0;
-        let arrived = if whole {
-            waiting.pop_front().map(|load| (from, load.stream, load.body))
+        let sent = first.remaining.min(TURN_BYTES);
+        first.remaining -= sent;
+        let finished = first.remaining == 0;
+        let arrived = if finished {
+            waiting.pop_front().map(|transfer| (from, transfer.stream, transfer.body))
         } else {
             None
         };
@@ -77,9 +80,10 @@
         Some((sent as u64 * 1_000 / rate, arrived))
     }
 
-    /// Bytes of messages of these kinds that an instance was sent.
+    /// Returns the bytes of the messages of some kinds that were sent to an instance.
     pub fn bytes(&self, to: usize, kinds: &[&str]) -> u64 {
-        let of = self.received.iter().filter(|((at, kind), _)| *at == to && kinds.contains(kind));
-        of.map(|(_, bytes)| bytes).sum()
+        let matching =
+            self.received.iter().filter(|((at, kind), _)| *at == to && kinds.contains(kind));
+        matching.map(|(_, bytes)| bytes).sum()
     }
 }
--- a/crates/dispatch/tests/world/mod.rs
+++ b/crates/dispatch/tests/world/mod.rs
@@ -1,7 +1,8 @@
-//! A whole system in one thread and virtual time: instances, upstreams, clients and an operator,
-//! with faults between them. It checks, as it goes on, that no task runs twice at a time, that "not
-//! run" is true, and that all tasks of a complete job have done their work.
-#![allow(dead_code, reason = "each test uses a part of it")]
+//! A single-threaded simulation of a whole system in virtual time: instances, upstreams, clients
+//! and an operator, with injected faults. While it runs it checks that no task runs twice at a
+//! time, that every "not run" verdict is true, and that all tasks of a job reported as complete
+//! have finished their work.
+#![allow(dead_code, reason = "each test uses only part of the simulation")]
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -31,50 +32,52 @@
 
 use upstream::{MS, Upstream};
 
-const WALL: u64 = 1_800_000_000_000;
-const TICK: u64 = 20 * MS;
-const RESEND: u64 = 1_300 * MS;
-/// A task that brings its upstream down does so after this.
-const CRASH: u64 = 20 * MS;
-/// An upstream is back after this.
-const REVIVAL: u64 = 2_500 * MS;
+/// The wall-clock time at the start of the simulation, milliseconds.
+const WALL_CLOCK_MS: u64 = 1_800_000_000_000;
+const TICK_INTERVAL: u64 = 20 * MS;
+/// The delay before a client retries a job, microseconds.
+const RETRY_DELAY: u64 = 1_300 * MS;
+/// The delay between the start of a crashing task and the crash of its upstream, microseconds.
+const CRASH_DELAY: u64 = 20 * MS;
+/// The delay before a crashed upstream restarts, microseconds.
+const RESTART_DELAY: u64 = 2_500 * MS;
 
-/// What travels or is due.
+/// An event of the simulation: a message in transit or a timer.
 #[derive(Debug)]
-enum What {
+enum Action {
     Tick,
     Deliver { to: usize, from: usize, stream: u64, body: Body },
-    Link { to: usize },
+    LinkTurn { to: usize },
     Arrive { call: Call, from: (usize, u64) },
     Answer { to: (usize, u64), number: u64, fence: u64, outcome: Outcome },
     Expire { to: (usize, u64), number: u64, fence: u64 },
     Submit { id: Name },
     Saved { to: (usize, u64), number: u64 },
     Crash { at: usize, id: String },
-    Revive { at: usize, id: String },
+    Restart { at: usize, id: String },
 }
 
 #[derive(Debug)]
-struct Due {
+struct QueuedAction {
     at: u64,
-    order: u64,
-    what: What,
+    sequence: u64,
+    action: Action,
 }
 
-impl PartialEq for Due {
+impl PartialEq for QueuedAction {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence == other.sequence
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for QueuedAction {}
+impl PartialOrd for QueuedAction {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for QueuedAction {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.at, other.order).cmp(&(self.at, self.order))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -82,37 +85,40 @@
     pub card: Card,
     pub core: Option<Core>,
     pub frozen: bool,
-    held: Vec<What>,
-    life: u64,
+    /// Events that arrived while the instance was frozen.
+    deferred: Vec<Action>,
+    /// Counts the processes of this instance, so that answers to former ones are dropped.
+    generation: u64,
     disk: Option<(Mirror, u64)>,
-    /// Whom its disk remembers.
+    /// The upstreams and peers that are stored on its disk.
     pub known: Known,
-    first: bool,
+    first_start: bool,
 }
 
-/// How long messages wait on a stream, microseconds.
+/// The queueing delay of messages on a stream, microseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Slow {
-    /// The longest wait.
-    most: u64,
-    /// Since when the queue fills up, if it does: each heartbeat still comes within 250 ms of the
-    /// one before.
+pub struct StreamDelay {
+    /// The maximum delay.
+    max: u64,
+    /// When the queue started to fill, if the delay grows over time. The delay grows slowly enough
+    /// for each heartbeat to arrive within 250 ms of the previous one.
     since: Option<u64>,
 }
 
-/// A client's job.
+/// A job that a client has submitted.
 #[derive(Debug)]
 pub struct Request {
     pub job: Job,
     zone: Name,
+    /// The entry that the request is open at.
     pub at: Option<usize>,
-    /// When the client first handed it in.
+    /// When the client first submitted it.
     pub first: u64,
     pub sent: u64,
     pub verdict: Option<(Verdict, u64)>,
 }
 
-/// Messages and their size when encoded.
+/// The number of messages and their total encoded size.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Flow {
     pub count: u64,
@@ -126,89 +132,92 @@
     pub upstreams: Vec<Upstream>,
     pub requests: BTreeMap<Name, Request>,
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Upstream and instance that do not reach each other.
+    /// Pairs of an upstream and an instance that cannot reach each other.
     pub walls: BTreeSet<(usize, usize)>,
-    /// The only keeper that upstreams tell of themselves.
+    /// If set, the only keeper to which upstreams announce themselves.
     pub ear: Option<usize>,
-    /// How far the time of day is off at instances that start from now on, milliseconds.
-    pub skew: i64,
-    /// Messages between instances wait this much longer, microseconds: their receivers are busy.
+    /// The wall-clock error of instances that start from now on, milliseconds.
+    pub clock_skew: i64,
+    /// Extra delay of messages between instances because their receivers are busy, microseconds.
     pub busy: u64,
-    /// Streams on which messages wait, and none overtakes another: the link or a queue on the way
-    /// is full.
-    pub slow: BTreeMap<(usize, usize), Slow>,
-    /// Whether what is under way on a stream is lost when the stream is dialled anew.
-    pub lossy: bool,
-    /// One order in so many is carried out late and never answered; 0 for none.
+    /// Streams that delay their messages without reordering them, because the link or a queue on
+    /// the path is full.
+    pub slow: BTreeMap<(usize, usize), StreamDelay>,
+    /// Whether a redial loses the messages that are in transit on the old stream.
+    pub redial_loss: bool,
+    /// One start order in this many is carried out 3 s late, and its caller gets no answer in time;
+    /// 0 for none.
     pub late: u32,
-    /// Answers of upstreams come this much later, microseconds.
+    /// Extra delay of answers from upstreams, microseconds.
     pub answer_lag: u64,
-    /// Where the time of tasks went that have done their work.
+    /// The time breakdowns of finished tasks.
     pub splits: Vec<Breakdown>,
-    /// One question for what runs and has ended in so many is lost; 0 for none.
+    /// One hold call in this many, which asks for running and ended tasks, is lost; 0 for none.
     pub mute: u32,
     pub faults: Vec<String>,
-    /// One job in so many brings upstreams down; 0 for none.
+    /// One job in this many crashes the upstreams that start it; 0 for none.
     pub fatal: u32,
-    /// Jobs whose tasks bring down the upstream that starts them.
+    /// Jobs whose tasks crash the upstream that starts them.
     pub crashing: BTreeSet<Name>,
-    /// How often tasks were started.
+    /// The number of starts of each task.
     pub begun: BTreeMap<Task, u32>,
-    /// When each task was last told to start.
+    /// When each task was last started at an upstream.
     pub starts: BTreeMap<Task, u64>,
-    /// When a task was last ordered to start at an upstream of each zone.
+    /// When an instance last ordered a task to start at an upstream of each zone.
     orders: BTreeMap<String, u64>,
-    /// Tasks that have done their work.
+    /// Tasks that have finished their work.
     pub done: BTreeSet<Task>,
     pub replies: Vec<(u64, Reply)>,
-    /// Time that each instance's decisions took, on this machine.
+    /// The real time that each instance spent on handling events, on the machine that runs the
+    /// test.
     pub spent: BTreeMap<usize, std::time::Duration>,
-    /// Links that take time for each byte; none of them does by default.
+    /// Links with a limited bandwidth; by default no link has a limit.
     pub links: link::Links,
-    /// Streams that were opened: from and to.
+    /// Streams that were opened, as sender and receiver.
     pub streams: BTreeSet<(usize, usize)>,
-    /// Messages between instances, by kind.
+    /// The number of messages between instances, by kind.
     pub sent: BTreeMap<&'static str, u64>,
-    /// Decisions that were noted, by their text.
+    /// The number of log notes, by text.
     pub notes: BTreeMap<&'static str, u64>,
-    /// Whether messages are weighed, and counted in `flows`.
-    pub weigh: bool,
-    /// What each instance sent (`true`) and got, by kind.
+    /// Whether `flows` counts messages and their encoded size.
+    pub count_flows: bool,
+    /// The messages that each instance sent (`true`) and received (`false`), by kind.
     pub flows: BTreeMap<(usize, bool, &'static str), Flow>,
-    /// Calls to upstreams that each instance made.
+    /// The number of calls that each instance made to upstreams.
     pub calls: BTreeMap<usize, u64>,
-    /// Streams that each instance dialled anew.
+    /// The number of streams that each instance redialled.
     pub redials: BTreeMap<usize, u64>,
-    /// Each message is late by something in this range, microseconds; those of a stream stay in
-    /// their order.
-    pub lag: (u64, u64),
-    lagged: BTreeMap<(usize, usize), u64>,
-    /// Streams that carry nothing until they are dialled anew.
-    pub silent: BTreeSet<(usize, usize)>,
-    /// Processor time of entries that start from now on, thousandths of a core; keepers have five
+    /// The range of the random delay of each message, microseconds; the messages of one stream stay
+    /// in order.
+    pub jitter: (u64, u64),
+    last_jittered: BTreeMap<(usize, usize), u64>,
+    /// Streams that drop all messages until they are redialled.
+    pub stalled: BTreeSet<(usize, usize)>,
+    /// Processor capacity of entries that start from now on, thousandths of a core; keepers have 5
     /// times as much.
     pub cores: u64,
-    /// How instances that start from now on decide.
+    /// The scheduling policy of instances that start from now on.
     pub policy: Policy,
+    /// The job of each open client request, by ticket.
     tickets: BTreeMap<u64, Name>,
-    queue: BinaryHeap<Due>,
-    order: u64,
-    /// Streams that were dialled anew: how often.
-    redialled: BTreeMap<(usize, usize), u64>,
-    /// When the last message on a slow stream arrives.
-    last: BTreeMap<(usize, usize), u64>,
+    queue: BinaryHeap<QueuedAction>,
+    sequence: u64,
+    /// The number of redials of each stream, which identifies its current connection.
+    redial_counts: BTreeMap<(usize, usize), u64>,
+    /// When the last message on a delayed stream arrives.
+    last_arrival: BTreeMap<(usize, usize), u64>,
     seeds: Vec<Name>,
-    /// `TRACE=ID` prints what is done about a job.
+    /// The job from the environment variable `TRACE=ID`, whose outputs are printed.
     trace: Option<String>,
 }
 
 impl World {
-    /// Zones with `entries` entries and one keeper each, and `upstreams` upstreams.
+    /// Creates zones with one keeper, `entries` entries and `upstreams` upstreams each.
     pub fn new(seed: u64, zones: usize, entries: usize, upstreams: usize) -> Self {
         Self::with_keepers(seed, zones, 1, entries, upstreams)
     }
 
-    /// Zones with `keepers` keepers and `entries` entries each, and `upstreams` upstreams.
+    /// Creates zones with `keepers` keepers, `entries` entries and `upstreams` upstreams each.
     pub fn with_keepers(
         seed: u64,
         zones: usize,
@@ -225,10 +234,10 @@
             cuts: BTreeSet::new(),
             walls: BTreeSet::new(),
             ear: None,
-            skew: 0,
+            clock_skew: 0,
             busy: 0,
             slow: BTreeMap::new(),
-            lossy: false,
+            redial_loss: false,
             late: 0,
             answer_lag: 0,
             splits: Vec::new(),
@@ -246,20 +255,20 @@
             streams: BTreeSet::new(),
             sent: BTreeMap::new(),
             notes: BTreeMap::new(),
-            weigh: false,
+            count_flows: false,
             flows: BTreeMap::new(),
             calls: BTreeMap::new(),
             redials: BTreeMap::new(),
-            lag: (0, 0),
-            lagged: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            jitter: (0, 0),
+            last_jittered: BTreeMap::new(),
+            stalled: BTreeSet::new(),
             cores: 1_000,
             policy: Policy::default(),
             tickets: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            order: 0,
-            redialled: BTreeMap::new(),
-            last: BTreeMap::new(),
+            sequence: 0,
+            redial_counts: BTreeMap::new(),
+            last_arrival: BTreeMap::new(),
             seeds: (0..zones).map(|z| Name::new(&format!("10.{z}.0.1:7"))).collect(),
             trace: std::env::var("TRACE").ok(),
         };
@@ -269,16 +278,15 @@
                 let name = Name::new(&format!("10.{zone}.0.{}:7", at + 1));
                 let card = Card { name, zone: zone_name(zone), role, incarnation: 0 };
                 let disk = (role == Role::Keeper).then(|| (Mirror::default(), 1));
-                let first = true;
                 let instance = Instance {
                     card,
                     core: None,
                     frozen: false,
-                    held: Vec::new(),
-                    life: 0,
+                    deferred: Vec::new(),
+                    generation: 0,
                     disk,
                     known: Known::default(),
-                    first,
+                    first_start: true,
                 };
                 world.instances.push(instance);
             }
@@ -294,11 +302,11 @@
         for at in 0..world.instances.len() {
             world.start(at);
         }
-        world.push(TICK, What::Tick);
+        world.push(TICK_INTERVAL, Action::Tick);
         world
     }
 
-    /// The instances that schedule a zone.
+    /// Returns the instances that schedule a zone.
     pub fn schedulers(&self, zone: usize) -> Vec<usize> {
         let zone = zone_name(zone);
         let schedules = |i: &Instance| i.core.as_ref().is_some_and(|core| core.schedules(&zone));
@@ -306,21 +314,21 @@
         found.map(|(at, _)| at).collect()
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms * MS;
         while self.queue.peek().is_some_and(|due| due.at <= end) {
             let Some(due) = self.queue.pop() else { break };
             self.now = self.now.max(due.at);
-            self.step(due.what);
+            self.step(due.action);
         }
         self.now = end;
     }
 
-    fn step(&mut self, what: What) {
-        let target = match &what {
-            What::Deliver { to, .. } => Some(*to),
-            What::Answer { to, .. } | What::Expire { to, .. } | What::Saved { to, .. } => {
+    fn step(&mut self, action: Action) {
+        let target = match &action {
+            Action::Deliver { to, .. } => Some(*to),
+            Action::Answer { to, .. } | Action::Expire { to, .. } | Action::Saved { to, .. } => {
                 Some(to.0)
             }
             _ => None,
@@ -328,52 +336,52 @@
         if let Some(to) = target
             && self.instances[to].frozen
         {
-            return self.instances[to].held.push(what);
+            return self.instances[to].deferred.push(action);
         }
-        match what {
-            What::Tick => self.tick(),
-            What::Deliver { to, from, stream, body } => {
-                let broken = self.redialled.get(&(from, to)).is_some_and(|now| *now != stream);
+        match action {
+            Action::Tick => self.tick(),
+            Action::Deliver { to, from, stream, body } => {
+                let broken = self.redial_counts.get(&(from, to)).is_some_and(|now| *now != stream);
                 if !self.cuts.contains(&(from, to)) && !broken {
-                    self.count(to, false, &body);
+                    self.count_message(to, false, &body);
                     let name = self.instances[from].card.name.clone();
                     self.handle(to, Event::Peer(name, body));
                 }
             }
-            What::Link { to } => {
-                if let Some((took, arrived)) = self.links.turn(to) {
-                    let end = self.now + took;
+            Action::LinkTurn { to } => {
+                if let Some((duration, arrived)) = self.links.turn(to) {
+                    let end = self.now + duration;
                     if let Some((from, stream, body)) = arrived {
-                        self.push(end + self.busy, What::Deliver { to, from, stream, body });
+                        self.push(end + self.busy, Action::Deliver { to, from, stream, body });
                     }
-                    self.push(end, What::Link { to });
+                    self.push(end, Action::LinkTurn { to });
                 }
             }
-            What::Arrive { call, from } => self.arrive(call, from),
-            What::Answer { to, number, fence, outcome } => {
-                if self.instances[to.0].life == to.1 {
+            Action::Arrive { call, from } => self.arrive(call, from),
+            Action::Answer { to, number, fence, outcome } => {
+                if self.instances[to.0].generation == to.1 {
                     let took = 600;
                     let answer = Answer { number, fence, took, outcome };
                     self.handle(to.0, Event::Called(answer));
                 }
             }
-            What::Expire { to, number, fence } => {
-                if self.instances[to.0].life == to.1 {
+            Action::Expire { to, number, fence } => {
+                if self.instances[to.0].generation == to.1 {
                     let (took, outcome) = (50 * MS, Outcome::Lost);
                     let answer = Answer { number, fence, took, outcome };
                     self.handle(to.0, Event::Called(answer));
                 }
             }
-            What::Submit { id } => self.hand_in(&id),
-            What::Crash { at, id } => self.crash(at, &id),
-            What::Revive { at, id } => {
+            Action::Submit { id } => self.send_job(&id),
+            Action::Crash { at, id } => self.crash(at, &id),
+            Action::Restart { at, id } => {
                 if self.upstreams[at].id == id {
                     self.upstreams[at].crash(&format!("{id}+"));
                     self.announce(at, Phase::Serving);
                 }
             }
-            What::Saved { to, number } => {
-                if self.instances[to.0].life == to.1 {
+            Action::Saved { to, number } => {
+                if self.instances[to.0].generation == to.1 {
                     self.handle(to.0, Event::Saved(number));
                 }
             }
@@ -381,7 +389,7 @@
     }
 
     fn tick(&mut self) {
-        self.push(self.now + TICK, What::Tick);
+        self.push(self.now + TICK_INTERVAL, Action::Tick);
         for at in 0..self.instances.len() {
             if !self.instances[at].frozen {
                 self.handle(at, Event::Tick);
@@ -392,13 +400,13 @@
                 let due = self.upstreams[at].tick(self.now);
                 self.done.extend(self.upstreams[at].done.drain(..));
                 for waiting in due {
-                    let outcome = self.upstreams[at].lists(self.now);
+                    let outcome = self.upstreams[at].list_tasks(self.now);
                     self.answer(at, waiting.call.number, waiting.call.fence, waiting.from, outcome);
                 }
             }
         }
         self.check();
-        if (self.now / TICK).is_multiple_of(50) {
+        if (self.now / TICK_INTERVAL).is_multiple_of(50) {
             for at in 0..self.upstreams.len() {
                 self.announce(at, Phase::Serving);
             }
@@ -419,12 +427,12 @@
     }
 
     fn clock(&self) -> Now {
-        Now::new(self.now, WALL + self.now / MS)
+        Now::new(self.now, WALL_CLOCK_MS + self.now / MS)
     }
 
-    fn push(&mut self, at: u64, what: What) {
-        self.order += 1;
-        self.queue.push(Due { at, order: self.order, what });
+    fn push(&mut self, at: u64, action: Action) {
+        self.sequence += 1;
+        self.queue.push(QueuedAction { at, sequence: self.sequence, action });
     }
 }
 
@@ -432,7 +440,7 @@
     Name::new(&format!("zone-{zone}"))
 }
 
-/// A text of `bytes` that hardly any packing makes smaller.
+/// Returns a random text of `bytes` bytes, which compresses hardly at all.
 pub fn text(bytes: usize, seed: u64) -> String {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..bytes).map(|_| char::from(rng.random_range(b'!'..=b'~'))).collect()
--- a/crates/dispatch/tests/world/stream.rs
+++ b/crates/dispatch/tests/world/stream.rs
@@ -1,51 +1,51 @@
-//! Streams between instances on which messages wait.
+//! Streams between instances that delay their messages.
 
 use rand::RngExt as _;
 
-use super::{Slow, World, upstream::MS};
+use super::{StreamDelay, World, upstream::MS};
 
 impl World {
-    /// When a message that would arrive `at` on a quick stream does arrive.
-    pub(super) fn arrival(&mut self, from: usize, to: usize, at: u64) -> u64 {
-        let wait = self.slow.get(&(from, to)).map_or(0, |slow| match slow.since {
-            Some(since) => slow.most.min((self.now - since) / 2),
-            None => slow.most,
+    /// Returns when a message arrives that would arrive at `at` on a stream without a delay.
+    pub(super) fn arrival_time(&mut self, from: usize, to: usize, at: u64) -> u64 {
+        let wait = self.slow.get(&(from, to)).map_or(0, |delay| match delay.since {
+            Some(since) => delay.max.min((self.now - since) / 2),
+            None => delay.max,
         });
-        if wait == 0 && !self.last.contains_key(&(from, to)) {
+        if wait == 0 && !self.last_arrival.contains_key(&(from, to)) {
             return at;
         }
-        let last = self.last.entry((from, to)).or_default();
+        let last = self.last_arrival.entry((from, to)).or_default();
         *last = (at + wait).max(*last);
         *last
     }
 
-    /// Messages from one instance to another wait this long from now on (0: no more),
-    /// milliseconds.
+    /// Delays messages from one instance to another from now on, milliseconds; 0 ends the delay.
     pub fn slow(&mut self, from: usize, to: usize, ms: u64) {
-        self.set_slow(from, to, Slow { most: ms * MS, since: None });
+        self.set_delay(from, to, StreamDelay { max: ms * MS, since: None });
     }
 
-    /// They wait longer and longer, up to this time, milliseconds.
+    /// Delays messages from one instance to another by a growing time, up to `ms` milliseconds.
     pub fn fill_up(&mut self, from: usize, to: usize, ms: u64) {
-        self.set_slow(from, to, Slow { most: ms * MS, since: Some(self.now) });
+        self.set_delay(from, to, StreamDelay { max: ms * MS, since: Some(self.now) });
     }
 
-    fn set_slow(&mut self, from: usize, to: usize, slow: Slow) {
-        if slow.most == 0 {
+    fn set_delay(&mut self, from: usize, to: usize, delay: StreamDelay) {
+        if delay.max == 0 {
             self.slow.remove(&(from, to));
         } else if from != to {
-            self.slow.insert((from, to), slow);
+            self.slow.insert((from, to), delay);
         }
     }
 
-    /// When a message arrives that is due at `due` unless streams are late.
-    pub(super) fn late(&mut self, from: usize, to: usize, due: u64) -> u64 {
-        let (least, most) = self.lag;
-        if most == 0 {
+    /// Adds the random delay to the arrival time `due` of a message and keeps the order of its
+    /// stream.
+    pub(super) fn add_jitter(&mut self, from: usize, to: usize, due: u64) -> u64 {
+        let (min, max) = self.jitter;
+        if max == 0 {
             return due;
         }
-        let held = self.lagged.entry((from, to)).or_default();
-        *held = (due + self.rng.random_range(least..most)).max(*held);
-        *held
+        let latest = self.last_jittered.entry((from, to)).or_default();
+        *latest = (due + self.rng.random_range(min..max)).max(*latest);
+        *latest
     }
 }
--- a/crates/dispatch/tests/world/upstream.rs
+++ b/crates/dispatch/tests/world/upstream.rs
@@ -1,4 +1,5 @@
-//! An upstream in virtual time: room, fencing, leases, a list of ends, calls that wait.
+//! A simulated upstream in virtual time: room, fencing, leases, the list of ended tasks and hold
+//! calls that wait for an end.
 
 use std::collections::BTreeMap;
 
@@ -9,32 +10,34 @@
 };
 
 pub const MS: u64 = 1_000;
-/// Longest lease, milliseconds.
+/// The longest lease, milliseconds.
 const MAX_LEASE: u64 = 1_000;
-/// A room that has shrunk counts after this: 3 s and an announcement, microseconds.
-const NEWS: u64 = 4_500 * MS;
-/// Time that a stop takes, microseconds.
-const STOP: u64 = 30 * MS;
+/// The time in which schedulers must learn of a shrunken room, microseconds: 3 s and an
+/// announcement.
+const RESIZE_GRACE: u64 = 4_500 * MS;
+/// The time that stopping a task takes, microseconds.
+const STOP_TIME: u64 = 30 * MS;
 
 #[derive(Debug)]
 pub struct Run {
     pub attempt: u32,
     need: Room,
-    /// Share of the work that was done by `since`.
+    /// The share of the work that was done at `since`.
     done: f64,
     since: u64,
-    /// Time that all of it takes at the present speed, microseconds.
+    /// The time that the whole task takes at the current speed, microseconds.
     length: u64,
     stopping: Option<u64>,
 }
 
 impl Run {
-    /// Share of the work that is done.
+    /// Returns the share of the work that is done.
     fn progress(&self, now: u64) -> f64 {
         self.done + (now - self.since) as f64 / self.length.max(1) as f64
     }
 }
 
+/// A hold call that waits for a task to end, or until its time is up.
 #[derive(Debug)]
 pub struct Waiting {
     pub call: Call,
@@ -42,7 +45,10 @@
     until: u64,
 }
 
-#[expect(clippy::struct_excessive_bools, reason = "independent faults, not states of one thing")]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "the flags are independent faults, not states of one state machine"
+)]
 #[derive(Debug)]
 pub struct Upstream {
     pub id: String,
@@ -52,17 +58,18 @@
     pub up: bool,
     pub hangs: bool,
     pub fails: bool,
-    /// Tasks take this many times as long as they should.
+    /// The factor by which tasks take longer than their nominal length.
     slowness: u64,
-    /// Whether it refuses to stop anything: it is unhealthy.
+    /// Whether it refuses all stop orders as unhealthy.
     pub sullen: bool,
-    /// Whether it refuses what does not fit into its room.
+    /// Whether it refuses tasks that do not fit into its room.
     pub guards: bool,
-    /// Starts that did not fit, refused or not.
+    /// The number of start orders that did not fit into the room, whether refused or not.
     pub excess: u32,
-    /// Starts over a room that had been told for long, where nothing guards it.
-    pub over: u32,
-    /// When it was last told of another room.
+    /// The number of accepted starts that exceeded the room when schedulers should already have
+    /// known its size, at an upstream that does not refuse them.
+    pub overcommits: u32,
+    /// When its room last changed, microseconds.
     resized: u64,
     pub runs: BTreeMap<Task, Run>,
     pub waiting: Vec<Waiting>,
@@ -73,12 +80,12 @@
     ended: Vec<Ended>,
     number: u64,
     highest: BTreeMap<Task, u32>,
-    /// Tasks that have done their work, until they are taken down.
+    /// Finished tasks, until the simulation collects them.
     pub done: Vec<Task>,
 }
 
 impl Upstream {
-    /// Whether a task of the job has ended here.
+    /// Returns whether a task of the job has ended here.
     pub fn has_run(&self, job: &state::name::Name) -> bool {
         self.highest.keys().any(|task| task.job == *job)
     }
@@ -96,7 +103,7 @@
             sullen: false,
             guards: true,
             excess: 0,
-            over: 0,
+            overcommits: 0,
             resized: 0,
             runs: BTreeMap::new(),
             waiting: Vec::new(),
@@ -111,18 +118,18 @@
         }
     }
 
-    /// Its steady clock, milliseconds.
+    /// Returns its monotonic clock, milliseconds.
     pub fn clock(&self, now: u64) -> u64 {
         now / MS + self.offset
     }
 
-    /// Its room changes while it runs.
+    /// Changes its processor room while it runs.
     pub fn resize(&mut self, cpu: u64, now: u64) {
         self.room.cpu = cpu;
         self.resized = now;
     }
 
-    /// Tasks take `slowness` times as long from now on, also those that run.
+    /// Makes tasks take `slowness` times as long from now on, including running ones.
     pub fn set_slowness(&mut self, slowness: u64, now: u64) {
         for run in self.runs.values_mut() {
             (run.done, run.since) = (run.progress(now), now);
@@ -131,15 +138,21 @@
         self.slowness = slowness;
     }
 
-    /// A new life: nothing runs, nothing is remembered.
+    /// Restarts the upstream under a new id, without its tasks and its former state.
     pub fn crash(&mut self, id: &str) {
         let fresh = Self::new(id, &self.zone.clone(), self.room.cpu, self.offset);
         let (address, guards) = (self.address.clone(), self.guards);
         *self = Self { address, guards, ..fresh };
     }
 
-    /// Carries out an order; nothing for a hold that waits.
-    pub fn take(&mut self, call: Call, from: (usize, u64), spec: u64, now: u64) -> Option<Outcome> {
+    /// Executes the order of a call. Returns `None` for a hold that waits.
+    pub fn handle_call(
+        &mut self,
+        call: Call,
+        from: (usize, u64),
+        spec: u64,
+        now: u64,
+    ) -> Option<Outcome> {
         let clock = self.clock(now);
         if call.upstream.as_str() != self.id {
             return Some(Outcome::Replaced);
@@ -156,7 +169,7 @@
                     self.waiting.push(Waiting { call, from, until: now + wait * MS });
                     return None;
                 }
-                Some(self.lists(now))
+                Some(self.list_tasks(now))
             }
             Order::Start { task, attempt, until, .. } => {
                 Some(self.start(&task, attempt, until, spec, now))
@@ -168,7 +181,7 @@
                 let highest = self.highest.entry(task.clone()).or_default();
                 *highest = (*highest).max(attempt);
                 if let Some(run) = self.runs.get_mut(&task) {
-                    run.stopping.get_or_insert(now + STOP);
+                    run.stopping.get_or_insert(now + STOP_TIME);
                 }
                 Some(Outcome::Done(clock))
             }
@@ -195,7 +208,7 @@
             if self.guards {
                 return Outcome::Refused(Reason::Room, Some(clock));
             }
-            self.over += u32::from(now >= self.resized + NEWS);
+            self.overcommits += u32::from(now >= self.resized + RESIZE_GRACE);
         }
         let length = spec / 100_000 * MS * self.slowness;
         let run = Run { attempt, need, done: 0.0, since: now, length, stopping: None };
@@ -203,13 +216,15 @@
         Outcome::Done(clock)
     }
 
+    /// Extends the lease, by no more than the longest lease from now on.
     fn grant(&mut self, until: Option<u64>, clock: u64) {
         if let Some(until) = until {
             self.lease = self.lease.max(until.min(clock + MAX_LEASE));
         }
     }
 
-    pub fn lists(&self, now: u64) -> Outcome {
+    /// Lists the running and the ended tasks.
+    pub fn list_tasks(&self, now: u64) -> Outcome {
         let row = |(task, run): (&Task, &Run)| {
             let done = if self.hangs { 0.0 } else { run.progress(now) };
             Running { task: task.clone(), attempt: run.attempt, percent: (done * 100.0) as u32 }
@@ -218,11 +233,11 @@
         Outcome::Held { clock: self.clock(now), running, ended: self.ended.clone() }
     }
 
-    /// Lets time pass; gives the calls whose answer is due.
+    /// Updates the tasks to the time `now`; returns the calls that have to be answered.
     pub fn tick(&mut self, now: u64) -> Vec<Waiting> {
         let clock = self.clock(now);
         let lapsed = clock >= self.lease;
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for (task, run) in &self.runs {
             let done = !self.hangs && run.progress(now) >= 1.0;
             let end = if done {
@@ -232,9 +247,9 @@
             } else {
                 lapsed.then_some(End::Lapsed)
             };
-            over.extend(end.map(|end| (task.clone(), run.attempt, end)));
+            ended.extend(end.map(|end| (task.clone(), run.attempt, end)));
         }
-        for (task, attempt, end) in over {
+        for (task, attempt, end) in ended {
             self.runs.remove(&task);
             if end == End::Done {
                 self.done.push(task.clone());
