--- a/crates/apricotroute/benches/trials.rs
+++ b/crates/apricotroute/benches/trials.rs
@@ -7,7 +7,7 @@
 
 use std::{fs, process, thread, time};
 
-use harness::{Cluster, Plan, SERVICE, eventually, job, mint, pause, upstream::Process};
+use harness::{Cluster, Plan, SERVICE, eventually, job, new_job_id, sleep_ms, upstream::Process};
 use serde_json::{Value, json};
 
 /// Number of upstreams in a trial, and number of slots of each upstream.
@@ -202,12 +202,12 @@
             cluster.wait_upstreams("west", upstreams);
             process
         });
-        pause(2_000);
+        sleep_ms(2_000);
         let pids: Vec<_> = cluster.nodes.iter().map(|n| n.child.as_ref().unwrap().id()).collect();
         let all: Vec<_> = (0..pids.len()).collect();
         let before: Vec<_> =
             all.iter().map(|at| (usage(pids[*at]), peer_traffic(&cluster, *at))).collect();
-        pause((SECONDS * 1_000.0) as u64);
+        sleep_ms((SECONDS * 1_000.0) as u64);
         // Each column is the maximum over the instances, since leaders use the most resources.
         let mut worst = [0.0_f64; 4];
         for at in all {
@@ -325,7 +325,7 @@
 fn failover() {
     let accept_ms = |cluster: &Cluster, at: usize| {
         let start = time::Instant::now();
-        let served = || cluster.submit(at, &job(&mint("west"), 1, 5_000)).0 == 200;
+        let served = || cluster.submit(at, &job(&new_job_id("west"), 1, 5_000)).0 == 200;
         assert!(eventually(20_000, served));
         start.elapsed().as_millis()
     };
@@ -352,7 +352,7 @@
         run.cluster.start(settings);
         run.cluster.wait_ready();
         run.cluster.isolate(&[0], true);
-        pause(5_000);
+        sleep_ms(5_000);
         run.cluster.isolate(&[0], false);
         let healed_ms = accept_ms(&run.cluster, 0);
         rows.push((journal_ms, follower_ms, settings_ms, healed_ms));
@@ -503,9 +503,9 @@
         run.cluster.wait_upstreams("west", UPSTREAMS as usize + 3);
         thread::scope(|scope| {
             let load = scope.spawn(|| run.load(&run.all(), rate(0.6), 12, JOBS));
-            pause(3_000);
+            sleep_ms(3_000);
             killed.child.kill().unwrap();
-            pause(3_000);
+            sleep_ms(3_000);
             let _restarted = run.cluster.upstream("v", "west", &[0, 1, 2], &options);
             row(label, &load.join().unwrap());
         });
@@ -521,7 +521,7 @@
         thread::scope(|scope| {
             let rest = scope.spawn(|| run.load(&[1, 2], rate(0.4), 8, JOBS));
             let own = scope.spawn(|| run.load(&[0], rate(0.2), 3, JOBS));
-            pause(2_500);
+            sleep_ms(2_500);
             run.cluster.signal(0, signal);
             row(&format!("at the others, one {label}"), &rest.join().unwrap());
             drop(own.join());
--- a/crates/apricotroute/src/cli.rs
+++ b/crates/apricotroute/src/cli.rs
@@ -194,7 +194,7 @@
 }
 
 /// Returns the exit code for the state of a job.
-fn job_exit_code(answer: &remote::Answer) -> process::ExitCode {
+fn job_exit_code(answer: &remote::Response) -> process::ExitCode {
     const FAILED: u8 = 1;
     const NOT_RUN: u8 = 3;
     const UNKNOWN: u8 = 4;
@@ -261,7 +261,7 @@
 }
 
 /// Returns success for status 200, otherwise the exit code for the state in the response.
-fn exit_code(answer: &remote::Answer) -> process::ExitCode {
+fn exit_code(answer: &remote::Response) -> process::ExitCode {
     if answer.status == 200 { process::ExitCode::SUCCESS } else { job_exit_code(answer) }
 }
 
--- a/crates/apricotroute/src/client.rs
+++ b/crates/apricotroute/src/client.rs
@@ -44,8 +44,8 @@
         self.pool.run(move || api.route(&request, responder));
     }
 
-    fn fault(&self, fault: http::Fault) -> Response {
-        reply::fault(fault, self.instance.as_str())
+    fn fault(&self, error: http::RequestError) -> Response {
+        reply::body_error(error, self.instance.as_str())
     }
 }
 
@@ -90,11 +90,11 @@
         } else {
             (404, "no such path")
         };
-        self.bad(status, "find route", why)
+        self.error_response(status, "find route", why)
     }
 
-    fn bad(&self, status: u16, step: &str, why: &str) -> Response {
-        reply::bad(status, step, why, self.instance.as_str())
+    fn error_response(&self, status: u16, step: &str, why: &str) -> Response {
+        reply::error_response(status, step, why, self.instance.as_str())
     }
 
     fn pending(
@@ -122,12 +122,16 @@
 
     fn submit(&self, request: &Request, responder: Responder) {
         if !is_json(request) {
-            return responder.send(self.bad(415, "read job", "expected application/json"));
+            return responder.send(self.error_response(
+                415,
+                "read job",
+                "expected application/json",
+            ));
         }
         let parsed = proto::json::Job::parse(&request.body).and_then(|job| Ok((job.id()?, job)));
         let (id, job) = match parsed {
             Ok(parsed) => parsed,
-            Err(e) => return responder.send(self.bad(400, e.step(), &e.to_string())),
+            Err(e) => return responder.send(self.error_response(400, e.step(), &e.to_string())),
         };
         let payload =
             |task: &proto::json::Task<'_>| request.body.slice_ref(task.payload.get().as_bytes());
@@ -144,22 +148,24 @@
             raw: false,
             trace: name::Name::new(&pending.context.to_string()),
         };
-        pending.ask(|ticket| Event::Submit(ticket, spec));
+        pending.request(|ticket| Event::Submit(ticket, spec));
     }
 
     fn job(&self, method: &str, text: &str, request: &Request, responder: Responder) {
         let id: id::JobId = match text.parse() {
             Ok(id) => id,
-            Err(e) => return responder.send(self.bad(400, "read job id", &format!("{e}"))),
+            Err(e) => {
+                return responder.send(self.error_response(400, "read job id", &format!("{e}")));
+            }
         };
         match method {
             "GET" => {
                 let pending = self.pending("show", request, responder, text, false);
-                pending.ask(|ticket| Event::Show(ticket, id));
+                pending.request(|ticket| Event::Show(ticket, id));
             }
             "DELETE" => {
                 let pending = self.pending("cancel", request, responder, text, false);
-                pending.ask(|ticket| Event::Cancel(ticket, id));
+                pending.request(|ticket| Event::Cancel(ticket, id));
             }
             _ => responder.send(self.no_route(true)),
         }
@@ -175,7 +181,7 @@
         };
         let pending = self.pending("request", request, responder, &spec.job.to_string(), true);
         let spec = message::Spec { trace: name::Name::new(&pending.context.to_string()), ..spec };
-        pending.ask(|ticket| Event::Submit(ticket, spec));
+        pending.request(|ticket| Event::Submit(ticket, spec));
     }
 
     fn read_request(
@@ -183,9 +189,9 @@
         service: &str,
         request: &Request,
     ) -> Result<message::Spec, Box<Response>> {
-        let bad = |step: &str, why: &str| Box::new(self.bad(400, step, why));
+        let error = |step: &str, why: &str| Box::new(self.error_response(400, step, why));
         let check =
-            |result: Result<(), proto::Error>| result.map_err(|e| bad(e.step(), &e.to_string()));
+            |result: Result<(), proto::Error>| result.map_err(|e| error(e.step(), &e.to_string()));
         check(proto::json::check_service(service))?;
         let team = request.header("Team");
         check(proto::json::check_team(team))?;
@@ -193,7 +199,7 @@
         {
             None | Some("false") => false,
             Some("true") => true,
-            Some(_) => return Err(bad("read Idempotent", "expected true or false")),
+            Some(_) => return Err(error("read Idempotent", "expected true or false")),
         };
         let left_ms = if request.headers.contains_key("Deadline-Ms") {
             let text = request.header("Deadline-Ms").unwrap_or_default().trim();
@@ -205,7 +211,7 @@
         };
         let job = if request.headers.contains_key("Request-Id") {
             let text = request.header("Request-Id").unwrap_or_default();
-            text.parse().map_err(|e: state::Error| bad("read Request-Id", &e.to_string()))?
+            text.parse().map_err(|e: state::Error| error("read Request-Id", &e.to_string()))?
         } else {
             id::JobId::generate(&self.zone)
         };
@@ -226,18 +232,22 @@
 
     fn announce(&self, request: &Request, responder: Responder) {
         if !is_json(request) {
-            return responder.send(self.bad(415, "read announcement", "expected application/json"));
+            return responder.send(self.error_response(
+                415,
+                "read announcement",
+                "expected application/json",
+            ));
         }
         let announce = match proto::json::Announce::parse(&request.body) {
             Ok(announce) => announce,
-            Err(e) => return responder.send(self.bad(400, e.step(), &e.to_string())),
+            Err(e) => return responder.send(self.error_response(400, e.step(), &e.to_string())),
         };
         if announce.availability_zone != self.zone.as_str() {
             let why = format!("this instance is in zone {}", self.zone);
-            return responder.send(self.bad(422, "take announcement", &why));
+            return responder.send(self.error_response(422, "take announcement", &why));
         }
         let pending = self.pending("announce", request, responder, "", false);
-        pending.ask(|ticket| Event::Announce(ticket, announce.upstream()));
+        pending.request(|ticket| Event::Announce(ticket, announce.upstream()));
     }
 
     fn withdraw(&self, method: &str, upstream: &str, responder: Responder) {
@@ -245,27 +255,28 @@
             return responder.send(self.no_route(true));
         }
         if !name::Name::is_valid(upstream) {
-            return responder.send(self.bad(400, "read upstream", "not a valid name"));
+            return responder.send(self.error_response(400, "read upstream", "not a valid name"));
         }
         let name = name::Name::new(upstream);
         let peer = self.instance.clone();
         let respond = move |_| responder.send(Response::json(200, "{}"));
-        if self.control.ask(|ticket| Event::Withdraw(ticket, name), Box::new(respond)).is_err() {
+        if self.control.request(|ticket| Event::Withdraw(ticket, name), Box::new(respond)).is_err()
+        {
             // The responder was moved into the reply function, which has been dropped, so the
             // client receives status 500.
-            drop(reply::overwhelmed(peer.as_str()));
+            drop(reply::overloaded(peer.as_str()));
         }
     }
 }
 
 impl Pending {
-    fn ask(self, event: impl FnOnce(Ticket) -> Event) {
+    fn request(self, event: impl FnOnce(Ticket) -> Event) {
         let control = self.api.control.clone();
         let pool = sync::Arc::clone(&self.api.pool);
         let respond: control::ReplyFn = Box::new(move |reply| {
             pool.run(move || self.finish(&reply));
         });
-        if let Err(respond) = control.ask(event, respond) {
+        if let Err(respond) = control.request(event, respond) {
             const RETRY_MS: u64 = 200;
             let kind = message::Refusal::Overload;
             let why = "the instance is overloaded";
@@ -293,7 +304,7 @@
             name: self.name,
             side: span::Side::Server,
             start: self.start,
-            notes: vec![("job", self.job), ("status", response.status.to_string())],
+            attributes: vec![("job", self.job), ("status", response.status.to_string())],
         });
         let context = self.context.to_string();
         self.responder.send(response.with_header("traceparent", context));
--- a/crates/apricotroute/src/control.rs
+++ b/crates/apricotroute/src/control.rs
@@ -29,7 +29,7 @@
 
 enum Input {
     Event(Event),
-    Ask(event::Ticket, Event, ReplyFn),
+    Request(event::Ticket, Event, ReplyFn),
     Inspect(Inspect),
 }
 
@@ -124,16 +124,16 @@
     }
 
     /// Sends a request; returns the reply function if the queue of the control thread is full.
-    pub fn ask(
+    pub fn request(
         &self,
         event: impl FnOnce(event::Ticket) -> Event,
         reply: ReplyFn,
     ) -> Result<(), ReplyFn> {
         let ticket = self.tickets.fetch_add(1, atomic::Ordering::Relaxed);
-        match self.sender.try_send(Input::Ask(ticket, event(ticket), reply)) {
+        match self.sender.try_send(Input::Request(ticket, event(ticket), reply)) {
             Ok(()) => Ok(()),
             Err(e) => match e.into_inner() {
-                Input::Ask(_, _, reply) => Err(reply),
+                Input::Request(_, _, reply) => Err(reply),
                 Input::Event(_) | Input::Inspect(_) => Ok(()),
             },
         }
@@ -173,7 +173,7 @@
         true
     }
 
-    fn knows(&self, name: &name::Name) -> bool {
+    fn allows_peer(&self, name: &name::Name) -> bool {
         self.known.contains(name)
     }
 }
@@ -281,7 +281,7 @@
                 }
                 event
             }
-            Input::Ask(ticket, event, reply) => {
+            Input::Request(ticket, event, reply) => {
                 self.replies.insert(ticket, reply);
                 event
             }
@@ -305,7 +305,7 @@
             }
             Output::Settings => self.control.view.set_tree(self.core.tree()),
             Output::ExcessLatency(service, over) => {
-                metric::note_over(service.as_str(), over as f64 / 1_000.0);
+                metric::record_over_ideal(service.as_str(), over as f64 / 1_000.0);
             }
             Output::Drained => self.control.view.drained.store(true, atomic::Ordering::Relaxed),
         }
@@ -322,7 +322,7 @@
             name: "forward",
             side: span::Side::Server,
             start: time::SystemTime::now(),
-            notes: vec![("job", spec.job.to_string()), ("from", from.to_string())],
+            attributes: vec![("job", spec.job.to_string()), ("from", from.to_string())],
         };
         self.forward_spans.insert((from.clone(), call), span);
     }
@@ -419,16 +419,16 @@
     let parent = start.trace.as_str().parse::<trace::Context>().ok();
     let context = parent.map_or_else(trace::Context::new, |parent| parent.child());
     let now = clock.micros();
-    let left = time::Duration::from_micros(start.deadline.saturating_sub(now));
-    let finish = if now >= start.lease || left.is_zero() {
+    let timeout = time::Duration::from_micros(start.deadline.saturating_sub(now));
+    let finish = if now >= start.lease || timeout.is_zero() {
         event::Finish::Unsent
     } else {
         let task = task::Task {
             address: start.address.to_string(),
             id: task_id(&start.task),
             body: start.body,
-            content: start.content.to_string(),
-            left,
+            content_type: start.content.to_string(),
+            timeout,
             lease: lease_end(start.lease, now),
             span: context,
         };
@@ -440,7 +440,7 @@
         name: "task",
         side: span::Side::Client,
         start: began,
-        notes: vec![
+        attributes: vec![
             ("task", task_id(&start.task)),
             ("upstream", start.upstream.to_string()),
             ("end", finish_label(&finish).to_owned()),
--- a/crates/apricotroute/src/demo.rs
+++ b/crates/apricotroute/src/demo.rs
@@ -101,7 +101,7 @@
 }
 
 /// Submits the job, and retries while no upstream has announced itself yet (status 503).
-fn submit(client: &remote::Remote, zone: &name::Name) -> error::Result<remote::Answer> {
+fn submit(client: &remote::Remote, zone: &name::Name) -> error::Result<remote::Response> {
     const TRIES: usize = 50;
     const PAUSE: time::Duration = time::Duration::from_millis(50);
     let tasks: Vec<_> = (0..TASKS).map(|number| json!({"payload": {"page": number}})).collect();
--- a/crates/apricotroute/src/explain.rs
+++ b/crates/apricotroute/src/explain.rs
@@ -58,7 +58,7 @@
         let mut ids: collections::BTreeSet<_> =
             accepted.filter_map(|line| line.text("id").map(str::to_owned)).collect();
         ids.insert(id.to_owned());
-        let own: Vec<_> = all.iter().filter(|line| line.is_about(&ids)).collect();
+        let own: Vec<_> = all.iter().filter(|line| line.mentions(&ids)).collect();
         let involved: collections::BTreeSet<_> = own.iter().map(|line| &line.instance).collect();
         let span = own.first().zip(own.last()).map(|(first, last)| (first.ts, last.ts));
         let is_state_change = |line: &Line| {
@@ -69,11 +69,11 @@
         };
         let lines = all
             .iter()
-            .filter(|line| line.is_about(&ids) || is_state_change(line))
+            .filter(|line| line.mentions(&ids) || is_state_change(line))
             .cloned()
             .collect();
         let lines = if own.is_empty() { Vec::new() } else { lines };
-        Self { lines, ids, unparsed: log.unread, omitted: log.left_out() }
+        Self { lines, ids, unparsed: log.unparsed, omitted: log.omitted() }
     }
 
     /// Returns whether the logs contain no line about the request.
@@ -88,12 +88,12 @@
 impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(first) = self.lines.first() else {
-            return writeln!(f, "no line tells of it");
+            return writeln!(f, "no log line mentions this request");
         };
         writeln!(f, "from {}", first.ts.to_rfc3339())?;
         let width = self.lines.iter().map(|line| line.instance.len()).max().unwrap_or(0);
         let same_message = |a: &Line, b: &Line| a.instance == b.instance && a.msg == b.msg;
-        let unrelated = |a: &Line, b: &Line| !a.is_about(&self.ids) && !b.is_about(&self.ids);
+        let unrelated = |a: &Line, b: &Line| !a.mentions(&self.ids) && !b.mentions(&self.ids);
         let is_repeat = |a: &Line, b: &Line| unrelated(a, b) && same_message(a, b);
         for group in self.lines.chunk_by(is_repeat) {
             let line = &group[0];
@@ -115,10 +115,10 @@
             writeln!(f)?;
         }
         if self.omitted > 0 {
-            writeln!(f, "{} lines were left out of these logs to bound them", self.omitted)?;
+            writeln!(f, "{} lines were omitted from these logs by the rate limit", self.omitted)?;
         }
         if self.unparsed > 0 {
-            writeln!(f, "{} lines are no lines of a log", self.unparsed)?;
+            writeln!(f, "{} input lines are not valid log lines", self.unparsed)?;
         }
         Ok(())
     }
--- a/crates/apricotroute/src/load.rs
+++ b/crates/apricotroute/src/load.rs
@@ -257,7 +257,7 @@
     remote: &remote::Remote,
     body: &str,
     job: &str,
-) -> error::Result<remote::Answer> {
+) -> error::Result<remote::Response> {
     if options.idempotent {
         let headers = [
             ("Idempotent", "true".to_owned()),
@@ -280,7 +280,7 @@
 }
 
 /// Returns the state of the submission and the requested retry delay, milliseconds.
-fn state(answer: &error::Result<remote::Answer>) -> (String, u64) {
+fn state(answer: &error::Result<remote::Response>) -> (String, u64) {
     let Ok(answer) = answer else {
         return ("no_answer".to_owned(), 0);
     };
--- a/crates/apricotroute/src/log_file.rs
+++ b/crates/apricotroute/src/log_file.rs
@@ -27,7 +27,7 @@
     /// Lines, ordered by time.
     pub lines: Vec<Line>,
     /// Number of lines that could not be parsed.
-    pub unread: usize,
+    pub unparsed: usize,
 }
 
 impl Log {
@@ -37,7 +37,7 @@
     ///
     /// A file cannot be read.
     pub fn read(files: &[path::PathBuf]) -> error::Result<Self> {
-        let mut log = Self { lines: Vec::new(), unread: 0 };
+        let mut log = Self { lines: Vec::new(), unparsed: 0 };
         for file in files {
             let context = || error::Error::new("read log", file.display());
             let reader: Box<dyn io::Read> = if file.as_os_str() == "-" {
@@ -48,7 +48,7 @@
             for line in io::BufReader::new(reader).lines() {
                 match parse(&line.change_context_lazy(context)?) {
                     Some(line) => log.lines.push(line),
-                    None => log.unread += 1,
+                    None => log.unparsed += 1,
                 }
             }
         }
@@ -56,8 +56,8 @@
         Ok(log)
     }
 
-    /// Number of lines that the processes report as left out.
-    pub fn left_out(&self) -> u64 {
+    /// Number of lines that the processes report as omitted.
+    pub fn omitted(&self) -> u64 {
         let reports = self.lines.iter().filter(|line| line.msg == lines::LEFT_OUT);
         reports.filter_map(|line| line.fields.get("count")?.as_u64()).sum()
     }
@@ -70,7 +70,7 @@
     }
 
     /// Whether its `request` or `id` field is one of `ids`.
-    pub fn is_about(&self, ids: &collections::BTreeSet<String>) -> bool {
+    pub fn mentions(&self, ids: &collections::BTreeSet<String>) -> bool {
         let mut line_ids = ["request", "id"].into_iter().filter_map(|key| self.text(key));
         line_ids.any(|text| ids.contains(text))
     }
--- a/crates/apricotroute/src/losses.rs
+++ b/crates/apricotroute/src/losses.rs
@@ -60,25 +60,25 @@
 impl Cause {
     fn text(self) -> &'static str {
         match self {
-            Self::NoConfiguration => "refused: its entry had no configuration that it may go by",
-            Self::Refused => "refused: at once, for another reason",
-            Self::NoScheduler => "refused: no scheduler was heard",
+            Self::NoConfiguration => "refused: its entry had no up-to-date configuration",
+            Self::Refused => "refused: immediately, for another reason",
+            Self::NoScheduler => "refused: its entry could not reach a scheduler",
             Self::Evacuated => "refused: all zones are evacuated",
-            Self::ZoneFull => "refused: no room, while another zone had some",
-            Self::AllZonesFull => "refused: no room in any zone",
+            Self::ZoneFull => "refused: no free capacity, while another zone had some",
+            Self::AllZonesFull => "refused: no free capacity in any zone",
             Self::Failed => "failed: a task failed too often",
             Self::LostScheduler => "given up: a scheduler that had it was lost",
             Self::GaveUp => "given up: not done when its client gave up",
             Self::LateScheduler => "late: a scheduler that had it was lost",
-            Self::LateRerun => "late: a task ran again, its upstream was lost, hung or failed it",
-            Self::LateZoneFull => "late: waited for room, while another zone had some",
-            Self::LateAllZonesFull => "late: waited for room, none in any zone",
+            Self::LateRerun => "late: a task was rerun (upstream lost or hung, or task failed)",
+            Self::LateZoneFull => "late: waited for free capacity, while another zone had some",
+            Self::LateAllZonesFull => "late: waited for free capacity, none in any zone",
             Self::LateOrder => "late: orders to its upstream were slow, lost or refused",
-            Self::LateEndReport => "late: its scheduler heard late that its tasks had ended",
-            Self::LateEntry => "late: its entry handed it over late, or answered late",
+            Self::LateEndReport => "late: its scheduler learned late that its tasks had ended",
+            Self::LateEntry => "late: its entry was slow to hand it over or to answer",
             Self::LateWork => "late: its work alone took longer than declared",
-            Self::LateUnknown => "late: delay or work, as no line tells where its time went",
-            Self::Unanswered => "unanswered: lost with its entry, or its client left",
+            Self::LateUnknown => "late: delay or work; the logs have no breakdown of its time",
+            Self::Unanswered => "unanswered: its entry was lost, or its client disconnected",
         }
     }
 }
@@ -157,7 +157,7 @@
             *at = (*at - first) / 1_000;
         }
         lost.sort();
-        let (unparsed, omitted) = (log.unread, log.left_out());
+        let (unparsed, omitted) = (log.unparsed, log.omitted());
         Self { window, requests, in_time: requests - lost.len(), lost, diverted, unparsed, omitted }
     }
 }
@@ -188,10 +188,10 @@
             writeln!(f, "{} requests were diverted from an evacuated zone", self.diverted)?;
         }
         if self.omitted > 0 {
-            writeln!(f, "{} lines were left out of these logs to bound them", self.omitted)?;
+            writeln!(f, "{} lines were omitted from these logs by the rate limit", self.omitted)?;
         }
         if self.unparsed > 0 {
-            writeln!(f, "{} lines are no lines of a log", self.unparsed)?;
+            writeln!(f, "{} input lines are not valid log lines", self.unparsed)?;
         }
         Ok(())
     }
--- a/crates/apricotroute/src/node/control.rs
+++ b/crates/apricotroute/src/node/control.rs
@@ -131,7 +131,7 @@
     fn handle_input(&mut self, input: Input) {
         let event = match input {
             Input::Event(event) => event,
-            Input::Ask(ticket, event, reply) => {
+            Input::Request(ticket, event, reply) => {
                 let since = time::Instant::now();
                 let service = match &event {
                     Event::Submit(_, job) => job.service.clone(),
@@ -160,14 +160,14 @@
             Output::SaveKnown(known) => self.store(store::Write::Known(known)),
             Output::Call(call) => {
                 if let order::Order::Start { waited, .. } = &call.order {
-                    metric::note_start(time::Duration::from_millis(*waited));
+                    metric::record_start(time::Duration::from_millis(*waited));
                 }
                 self.work.push(Work::Call(call));
             }
             Output::Reply(ticket, reply) => {
                 if let Some(pending) = self.replies.remove(&ticket) {
                     let took = pending.since.elapsed();
-                    metric::note_reply(reply_label(&reply), pending.service.as_str(), took);
+                    metric::record_reply(reply_label(&reply), pending.service.as_str(), took);
                     (pending.reply)(reply);
                 }
             }
@@ -245,14 +245,14 @@
 fn note_measure(measure: event::Measure) {
     let time = time::Duration::from_micros;
     match measure {
-        event::Measure::FirstWait(waited) => metric::note_first_start(time(waited)),
-        event::Measure::IdleRoom(idle) => metric::note_idle_room(time(idle)),
+        event::Measure::FirstWait(waited) => metric::record_first_start(time(waited)),
+        event::Measure::IdleRoom(idle) => metric::record_idle_room(time(idle)),
         event::Measure::Breakdown(parts) => {
-            metric::note_part("order", time(parts.order));
-            metric::note_part("work", time(parts.work));
-            metric::note_part("told", time(parts.told));
+            metric::record_part("order", time(parts.order));
+            metric::record_part("work", time(parts.work));
+            metric::record_part("told", time(parts.told));
         }
-        event::Measure::LoadAge(age) => metric::note_load_age(time(age)),
+        event::Measure::LoadAge(age) => metric::record_load_age(time(age)),
     }
 }
 
--- a/crates/apricotroute/src/node/handle.rs
+++ b/crates/apricotroute/src/node/handle.rs
@@ -16,7 +16,7 @@
 /// An input of the control thread.
 pub(super) enum Input {
     Event(Event),
-    Ask(event::Ticket, Event, platform::ReplyFn),
+    Request(event::Ticket, Event, platform::ReplyFn),
 }
 
 /// A handle on the control thread.
@@ -86,7 +86,7 @@
 }
 
 impl platform::Backend for Backend {
-    fn ask(
+    fn submit(
         &self,
         event: Box<dyn FnOnce(event::Ticket) -> Event + Send>,
         reply: platform::ReplyFn,
@@ -98,8 +98,8 @@
             reply(core::refuse_draining());
             return ticket;
         }
-        if let Err(Input::Ask(_, _, reply)) =
-            self.control.mailbox.push(Input::Ask(ticket, event, reply))
+        if let Err(Input::Request(_, _, reply)) =
+            self.control.mailbox.push(Input::Request(ticket, event, reply))
         {
             slog::warn!(self.log, "control: Mailbox is full, a request is refused.");
             reply(Reply::Unavailable);
@@ -107,7 +107,7 @@
         ticket
     }
 
-    fn tell(&self, event: Event) {
+    fn notify(&self, event: Event) {
         if !self.control.send(event) {
             slog::warn!(self.log, "control: Mailbox is full, an event is dropped.");
         }
@@ -129,11 +129,11 @@
         self.control.view.draining.load(atomic::Ordering::Relaxed)
     }
 
-    fn taken(&self, request: &str, id: &str) {
+    fn log_submitted(&self, request: &str, id: &str) {
         slog::info!(self.log, "request: Taken."; "request" => request, "id" => id);
     }
 
-    fn refused(&self, request: &str, id: &str, status: u16, why: &str) {
+    fn log_refused(&self, request: &str, id: &str, status: u16, why: &str) {
         slog::info!(self.log, "request: Answered at once."; "request" => request, "id" => id,
             "status" => status, "why" => why);
     }
@@ -163,7 +163,7 @@
     }
 
     /// Accepts every sender: instances join and leave, and heartbeats show which ones exist.
-    fn knows(&self, _name: &name::Name) -> bool {
+    fn allows_peer(&self, _name: &name::Name) -> bool {
         true
     }
 }
--- a/crates/apricotroute/src/node/lines.rs
+++ b/crates/apricotroute/src/node/lines.rs
@@ -45,7 +45,7 @@
         }
         if kind.written >= MAX_LINES {
             kind.left_out += 1;
-            metric::count_left_out(note.text);
+            metric::count_dropped_line(note.text);
             return;
         }
         kind.written += 1;
--- a/crates/apricotroute/src/node/measure.rs
+++ b/crates/apricotroute/src/node/measure.rs
@@ -58,7 +58,7 @@
         responder.send(http::Response::text(if known { 200 } else { 404 }, text));
     }
 
-    fn fault(&self, _fault: http::Fault) -> http::Response {
+    fn fault(&self, _error: http::RequestError) -> http::Response {
         http::Response::text(400, "cannot read the request body\n")
     }
 }
--- a/crates/apricotroute/src/node/reader.rs
+++ b/crates/apricotroute/src/node/reader.rs
@@ -33,7 +33,7 @@
         Ok(routing) => {
             view.set_routing(routing);
             let elapsed = start.elapsed();
-            metric::note_read(elapsed);
+            metric::record_read(elapsed);
             slog::info!(log, "settings: Read."; "version" => document.version,
                 "bytes" => document.body.len(), "ms" => elapsed.as_millis() as u64);
         }
--- a/crates/apricotroute/src/node/traffic.rs
+++ b/crates/apricotroute/src/node/traffic.rs
@@ -67,7 +67,7 @@
     tokio::spawn(async move {
         let start = time::Instant::now();
         let outcome = platform::upstream::call(&caller, &call).await;
-        metric::note_call(order_label(&call.order), outcome_label(&outcome), start.elapsed());
+        metric::record_call(order_label(&call.order), outcome_label(&outcome), start.elapsed());
         let succeeded = matches!(outcome, Outcome::Done(_));
         let (number, fence, took) = (call.number, call.fence, start.elapsed());
         let took = took.as_micros() as u64;
--- a/crates/apricotroute/src/operator.rs
+++ b/crates/apricotroute/src/operator.rs
@@ -29,8 +29,8 @@
         self.pool.run(move || operator.route(&request, responder));
     }
 
-    fn fault(&self, fault: http::Fault) -> Response {
-        reply::fault(fault, self.instance.as_str())
+    fn fault(&self, error: http::RequestError) -> Response {
+        reply::body_error(error, self.instance.as_str())
     }
 }
 
@@ -51,31 +51,35 @@
                 self.put_settings(settings.unwrap_or_default(), request, responder);
             }
             _ if settings.is_some() => {
-                responder.send(self.bad(405, "find route", "the path takes no such method"));
+                responder.send(self.error_response(
+                    405,
+                    "find route",
+                    "the path does not support this method",
+                ));
             }
-            _ => responder.send(self.bad(404, "find route", "no such path")),
+            _ => responder.send(self.error_response(404, "find route", "no such path")),
         }
     }
 
-    fn bad(&self, status: u16, step: &str, why: &str) -> Response {
-        reply::bad(status, step, why, self.instance.as_str())
+    fn error_response(&self, status: u16, step: &str, why: &str) -> Response {
+        reply::error_response(status, step, why, self.instance.as_str())
     }
 
     fn status(&self) -> Response {
         match self.control.inspect(coord::Core::status) {
             Some(status) => Response::json(200, serde_json::to_vec(&status).unwrap_or_default()),
-            None => reply::overwhelmed(self.instance.as_str()),
+            None => reply::overloaded(self.instance.as_str()),
         }
     }
 
     fn get_settings(&self, path: &str) -> Response {
         let path = path.trim_matches('/');
         if let Some(why) = tree::path_error(path) {
-            return self.bad(400, "read path", why);
+            return self.error_response(400, "read path", why);
         }
         let tree = self.control.view().tree();
         let Some(effective) = tree.effective(path) else {
-            return self.bad(404, "read settings", &format!("{path} was never set"));
+            return self.error_response(404, "read settings", &format!("{path} was never set"));
         };
         let mut values = Map::new();
         let mut from = Map::new();
@@ -119,27 +123,29 @@
         let respond: control::ReplyFn = Box::new(move |reply| {
             responder.send(change_response(&reply, peer.as_str()));
         });
-        if let Err(respond) = self.control.ask(|ticket| Event::Change(ticket, change), respond) {
-            respond(Reply::Unknown("the instance has too much to do".to_owned()));
+        if let Err(respond) = self.control.request(|ticket| Event::Change(ticket, change), respond)
+        {
+            respond(Reply::Unknown("the instance is overloaded".to_owned()));
         }
     }
 
     fn read_change(&self, path: &str, request: &Request) -> Result<tree::Change, Box<Response>> {
         const MAX_BYTES: usize = 64 << 10;
-        let bad = |status, step: &str, why: &str| Box::new(self.bad(status, step, why));
+        let error =
+            |status, step: &str, why: &str| Box::new(self.error_response(status, step, why));
         let path = path.trim_matches('/');
         if let Some(why) = tree::path_error(path) {
-            return Err(bad(400, "read path", why));
+            return Err(error(400, "read path", why));
         }
         if request.body.len() > MAX_BYTES {
-            return Err(bad(413, "read change", "the change is too large"));
+            return Err(error(413, "read change", "the change is too large"));
         }
         let body = proto::json::Change::parse(&request.body)
-            .map_err(|e| bad(400, e.step(), &e.to_string()))?;
+            .map_err(|e| error(400, e.step(), &e.to_string()))?;
         let change = match body.change.as_deref() {
             None => uuid::Uuid::now_v7(),
             Some(text) => uuid::Uuid::try_parse(text)
-                .map_err(|e| bad(400, "read change", &format!("change: {e}")))?,
+                .map_err(|e| error(400, "read change", &format!("change: {e}")))?,
         };
         let faults = tree::value_errors(&body.values);
         if !faults.is_empty() {
@@ -182,7 +188,8 @@
         }
         Reply::Unknown(why) => {
             let (state, step) = (reply::UNKNOWN, "change settings");
-            reply::Fail { status: 503, state, error: why, step, peer, retry_ms: 0 }.response()
+            reply::ErrorResponse { status: 503, state, error: why, step, peer, retry_ms: 0 }
+                .response()
         }
         Reply::Verdict(_) | Reply::Cancelled | Reply::Lease(_) | Reply::Withdrawn => {
             Response::text(500, "no such reply\n")
--- a/crates/apricotroute/src/remote.rs
+++ b/crates/apricotroute/src/remote.rs
@@ -8,14 +8,14 @@
 
 /// An HTTP response of an instance.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status code.
     pub status: u16,
     /// Response body.
     pub body: String,
 }
 
-impl Answer {
+impl Response {
     /// The body as JSON, or `null` if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_default()
@@ -45,17 +45,17 @@
     }
 
     /// Sends a `GET` request.
-    pub fn get(&self, path: &str) -> error::Result<Answer> {
+    pub fn get(&self, path: &str) -> error::Result<Response> {
         self.read(self.agent.get(self.url(path)).call())
     }
 
     /// Sends a `DELETE` request.
-    pub fn delete(&self, path: &str) -> error::Result<Answer> {
+    pub fn delete(&self, path: &str) -> error::Result<Response> {
         self.read(self.agent.delete(self.url(path)).call())
     }
 
     /// Sends a `POST` request with a JSON body.
-    pub fn post(&self, path: &str, body: &[u8]) -> error::Result<Answer> {
+    pub fn post(&self, path: &str, body: &[u8]) -> error::Result<Response> {
         let request = self.agent.post(self.url(path)).header("Content-Type", "application/json");
         self.read(request.send(body))
     }
@@ -66,7 +66,7 @@
         service: &str,
         body: &[u8],
         headers: &[(&str, String)],
-    ) -> error::Result<Answer> {
+    ) -> error::Result<Response> {
         let mut request = self.agent.post(self.url(&format!("/v1/requests/{service}")));
         for (name, value) in headers {
             request = request.header(*name, value);
@@ -75,7 +75,7 @@
     }
 
     /// Sends a `PUT` request with a JSON body.
-    pub fn put(&self, path: &str, body: &[u8]) -> error::Result<Answer> {
+    pub fn put(&self, path: &str, body: &[u8]) -> error::Result<Response> {
         let request = self.agent.put(self.url(path)).header("Content-Type", "application/json");
         self.read(request.send(body))
     }
@@ -87,12 +87,12 @@
     fn read(
         &self,
         result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
-    ) -> error::Result<Answer> {
+    ) -> error::Result<Response> {
         const MAX_BODY: u64 = 256 << 20;
         let context = || error::Error::new("call", &self.address);
         let mut response = result.change_context_lazy(context)?;
         let status = response.status().as_u16();
         let body = response.body_mut().with_config().limit(MAX_BODY).read_to_string();
-        Ok(Answer { status, body: body.change_context_lazy(context)? })
+        Ok(Response { status, body: body.change_context_lazy(context)? })
     }
 }
--- a/crates/apricotroute/src/reply.rs
+++ b/crates/apricotroute/src/reply.rs
@@ -1,7 +1,7 @@
 //! HTTP responses of the client and operator interfaces.
 
 use coord::message::{Answer, Refusal, Verdict};
-use link::http::{Fault, Response};
+use link::http::{RequestError, Response};
 use serde_json::value::RawValue;
 
 /// Header that carries the state of a submission; the JSON body has it as `state`.
@@ -13,7 +13,7 @@
 
 /// An error response, with the step and the instance at which the error occurred.
 #[derive(Clone, Debug)]
-pub struct Fail<'a> {
+pub struct ErrorResponse<'a> {
     /// HTTP status code.
     pub status: u16,
     /// `failed`, `not_run` or `unknown`.
@@ -28,7 +28,7 @@
     pub retry_ms: u64,
 }
 
-impl Fail<'_> {
+impl ErrorResponse<'_> {
     /// Converts the error into an HTTP response.
     pub fn response(&self) -> Response {
         let retry = (self.retry_ms > 0).then_some(self.retry_ms);
@@ -49,27 +49,27 @@
 }
 
 /// The response to a request that is not valid.
-pub fn bad(status: u16, step: &str, error: &str, peer: &str) -> Response {
-    Fail { status, state: NOT_RUN, error, step, peer, retry_ms: 0 }.response()
+pub fn error_response(status: u16, step: &str, error: &str, peer: &str) -> Response {
+    ErrorResponse { status, state: NOT_RUN, error, step, peer, retry_ms: 0 }.response()
 }
 
 /// The response to a request whose body was not received completely.
-pub fn fault(fault: Fault, peer: &str) -> Response {
-    let (status, error) = match fault {
-        Fault::TooLarge => (413, "the body is too large"),
-        Fault::TooSlow => (408, "the body did not arrive in time"),
-        Fault::Broken => (400, "the body ended early"),
-        Fault::Crowded => (503, "too many bodies are being read"),
+pub fn body_error(error: RequestError, peer: &str) -> Response {
+    let (status, error) = match error {
+        RequestError::TooLarge => (413, "the body is too large"),
+        RequestError::TooSlow => (408, "the body did not arrive in time"),
+        RequestError::Broken => (400, "the body ended early"),
+        RequestError::Overloaded => (503, "too many bodies are being read"),
     };
-    bad(status, "read body", error, peer)
+    error_response(status, "read body", error, peer)
 }
 
 /// The response when the queue of the control thread is full.
-pub fn overwhelmed(peer: &str) -> Response {
+pub fn overloaded(peer: &str) -> Response {
     const RETRY_MS: u64 = 200;
     let error = "the instance is overloaded";
     let (status, state, step) = (503, NOT_RUN, "queue request");
-    Fail { status, state, error, step, peer, retry_ms: RETRY_MS }.response()
+    ErrorResponse { status, state, error, step, peer, retry_ms: RETRY_MS }.response()
 }
 
 /// The response to a submission. For a `raw` request it is the upstream's answer itself.
@@ -85,16 +85,17 @@
         Verdict::Failed { why, late } => {
             let status = if *late { 504 } else { 502 };
             let (state, step) = ("failed", "run job");
-            Fail { status, state, error: why, step, peer, retry_ms: 0 }.response()
+            ErrorResponse { status, state, error: why, step, peer, retry_ms: 0 }.response()
         }
         Verdict::NotRun { kind, why, retry_ms } => {
             let (status, step) = (refusal_status(*kind), refusal_step(*kind));
             let retry_ms = *retry_ms;
-            Fail { status, state: NOT_RUN, error: why, step, peer, retry_ms }.response()
+            ErrorResponse { status, state: NOT_RUN, error: why, step, peer, retry_ms }.response()
         }
         Verdict::Unknown { why } => {
             let step = "find job";
-            Fail { status: 503, state: UNKNOWN, error: why, step, peer, retry_ms: 0 }.response()
+            ErrorResponse { status: 503, state: UNKNOWN, error: why, step, peer, retry_ms: 0 }
+                .response()
         }
     }
 }
@@ -125,8 +126,8 @@
 fn raw_answer(answers: &[Answer]) -> Response {
     let answer = answers.first();
     let body = answer.map(|answer| answer.body.clone()).unwrap_or_default();
-    let content = answer.map(|answer| answer.content.to_string()).unwrap_or_default();
-    let response = Response { status: 200, content, headers: Vec::new(), body };
+    let content_type = answer.map(|answer| answer.content.to_string()).unwrap_or_default();
+    let response = Response { status: 200, content_type, headers: Vec::new(), body };
     response.with_header(STATE_HEADER, "complete")
 }
 
--- a/crates/apricotroute/src/standin.rs
+++ b/crates/apricotroute/src/standin.rs
@@ -188,8 +188,8 @@
         }
     }
 
-    fn fault(&self, _: http::Fault) -> Response {
-        Response::text(400, "the request broke off\n")
+    fn fault(&self, _: http::RequestError) -> Response {
+        Response::text(400, "the request ended early\n")
     }
 }
 
@@ -226,15 +226,15 @@
     }
 
     fn answer(&self, task: &str, request: &Request) -> Response {
-        let content = request.header("Content-Type").unwrap_or_default();
-        if content.starts_with("application/json") {
+        let content_type = request.header("Content-Type").unwrap_or_default();
+        if content_type.starts_with("application/json") {
             let payload: serde_json::Value =
                 serde_json::from_slice(&request.body).unwrap_or_default();
             let body = json!({"task": task, "upstream": self.options.name, "payload": payload});
             return Response::json(200, body.to_string());
         }
-        let (content, headers) = (content.to_owned(), Vec::new());
-        Response { status: 200, content, headers, body: request.body.clone() }
+        let (content_type, headers) = (content_type.to_owned(), Vec::new());
+        Response { status: 200, content_type, headers, body: request.body.clone() }
     }
 
     /// Draws the service time of a task.
--- a/crates/apricotroute/src/store.rs
+++ b/crates/apricotroute/src/store.rs
@@ -87,7 +87,7 @@
                 if let Some(last) = batch.last().map(|(number, _)| *number) {
                     let start = time::Instant::now();
                     let stored = self.store(batch);
-                    metric::note_sync(start.elapsed());
+                    metric::record_sync(start.elapsed());
                     if let Err(e) = stored {
                         // After a failed write the contents of the file are unknown, so this
                         // thread must never confirm anything again.
--- a/crates/apricotroute/tests/addresses.rs
+++ b/crates/apricotroute/tests/addresses.rs
@@ -49,8 +49,8 @@
 
 #[test]
 fn systems_apart() {
-    // Two parallel runs of one test have the same plan and therefore the same `net`.
-    let plan = || system::Plan { net: 120, zones: vec![(1, 1)], relays: false };
+    // Two parallel runs of one test have the same plan and therefore the same `subnet`.
+    let plan = || system::Plan { subnet: 120, zones: vec![(1, 1)], relays: false };
     let (one, other) = (system::System::new(plan()), system::System::new(plan()));
     for at in 0..2 {
         assert_ne!(one.client(at), other.client(at));
--- a/crates/apricotroute/tests/bad_input.rs
+++ b/crates/apricotroute/tests/bad_input.rs
@@ -8,7 +8,7 @@
     net, thread, time,
 };
 
-use harness::{Cluster, Plan, SERVICE, eventually, get, job, mint, post, put};
+use harness::{Cluster, Plan, SERVICE, eventually, get, job, new_job_id, post, put};
 use serde_json::{Value, json};
 
 fn cluster() -> (Cluster, harness::upstream::Process) {
@@ -35,9 +35,9 @@
 fn bad_jobs() {
     let (cluster, upstream) = cluster();
     let to = cluster.nodes[0].client;
-    let id = || mint("west");
+    let id = || new_job_id("west");
     let job_with = |change: &dyn Fn(&mut Value)| {
-        let mut spec = job(&mint("west"), 1, 1_000);
+        let mut spec = job(&new_job_id("west"), 1, 1_000);
         change(&mut spec);
         spec
     };
@@ -79,10 +79,10 @@
     let room = ["--cores", "2", "--memory-mb", "512"];
     let _upstream = cluster.upstream("u1", "west", &[0], &room);
     cluster.wait_upstreams("west", 1);
-    let mut spec = job(&mint("west"), 1, 1_000);
+    let mut spec = job(&new_job_id("west"), 1, 1_000);
     spec["needs"] = json!({"cores": 2, "memory_mb": 100});
     assert_eq!(cluster.submit(0, &spec).0, 200);
-    let mut spec = job(&mint("west"), 1, 1_000);
+    let mut spec = job(&new_job_id("west"), 1, 1_000);
     spec["needs"] = json!({"cores": 2, "accelerators": 1});
     let (status, body) = cluster.submit(0, &spec);
     assert_eq!((status, &body["state"]), (422, &json!("not_run")), "{body}");
@@ -115,7 +115,7 @@
     assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
     assert!(answer.contains("not_run"), "{answer}");
     // The instance still serves jobs after these requests.
-    assert_eq!(cluster.submit(0, &job(&mint("west"), 3, 2_000)).0, 200);
+    assert_eq!(cluster.submit(0, &job(&new_job_id("west"), 3, 2_000)).0, 200);
 }
 
 #[test]
@@ -133,7 +133,7 @@
     }
     let start = time::Instant::now();
     for _ in 0..20 {
-        assert_eq!(cluster.submit(0, &job(&mint("west"), 2, 2_000)).0, 200);
+        assert_eq!(cluster.submit(0, &job(&new_job_id("west"), 2, 2_000)).0, 200);
     }
     assert!(start.elapsed() < time::Duration::from_secs(4), "{:?}", start.elapsed());
 }
@@ -157,7 +157,7 @@
     }
     assert_eq!(post(to, "/v1/requests/a//b", &json!(1)).0, 400);
     assert_eq!(get(to, "/v1/jobs/west-7").unwrap().0, 400);
-    assert_eq!(get(to, &format!("/v1/jobs/{}", mint("west"))).unwrap().0, 404);
+    assert_eq!(get(to, &format!("/v1/jobs/{}", new_job_id("west"))).unwrap().0, 404);
     assert_eq!(get(to, "/v1/jobs").unwrap().0, 405);
     assert_eq!(get(to, "/nowhere").unwrap().0, 404);
 }
@@ -244,6 +244,6 @@
     for thread in threads {
         drop(thread.join());
     }
-    let served = || cluster.submit(0, &job(&mint("west"), 2, 2_000)).0 == 200;
+    let served = || cluster.submit(0, &job(&new_job_id("west"), 2, 2_000)).0 == 200;
     assert!(eventually(2_000, served));
 }
--- a/crates/apricotroute/tests/beats.rs
+++ b/crates/apricotroute/tests/beats.rs
@@ -21,8 +21,8 @@
 /// Maximum log lines of one kind that a process writes per second.
 const LINE_RATE: usize = 400;
 
-fn system(net: u8) -> System {
-    let plan = system::Plan { net, zones: vec![(KEEPERS, 1)], relays: false };
+fn system(subnet: u8) -> System {
+    let plan = system::Plan { subnet, zones: vec![(KEEPERS, 1)], relays: false };
     let mut system = System::new(plan);
     system.add_upstream("i-0", 0, None);
     eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
--- a/crates/apricotroute/tests/command_line.rs
+++ b/crates/apricotroute/tests/command_line.rs
@@ -4,7 +4,7 @@
 
 use std::{fs, process};
 
-use harness::{Plan, SERVICE, job, mint};
+use harness::{Plan, SERVICE, job, new_job_id};
 use serde_json::Value;
 
 fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
@@ -110,7 +110,7 @@
     let _upstream = cluster.upstream("u1", "west", &[0], &[]);
     cluster.wait_upstreams("west", 1);
 
-    let id = mint("west");
+    let id = new_job_id("west");
     let file = cluster.dir.path().join("job.json");
     fs::write(&file, job(&id, 3, 2_000).to_string()).unwrap();
     let file = file.to_str().unwrap();
@@ -118,9 +118,9 @@
     assert!(code == Some(0) && out.contains("complete"), "{out}");
     let (code, out, _) = run(&["job", "--to", &client, "show", &id]);
     assert!(code == Some(0) && out.contains("complete"), "{out}");
-    let (code, out, _) = run(&["job", "--to", &client, "show", &mint("west")]);
+    let (code, out, _) = run(&["job", "--to", &client, "show", &new_job_id("west")]);
     assert!(code == Some(3) && out.contains("not_run"), "{out}");
-    let (code, out, _) = run(&["submit", "--to", &client, "--job", &mint("north"), file]);
+    let (code, out, _) = run(&["submit", "--to", &client, "--job", &new_job_id("north"), file]);
     assert!(code == Some(4) && out.contains("unknown"), "{out}");
 
     let (code, out, _) = run(&["status", "--to", &operator]);
@@ -148,7 +148,7 @@
     assert_eq!(run(&["explain", "c12c5358b82cab6d", &keepers, &entry]).1, story);
     // No log line refers to another request.
     let (code, out, _) = run(&["explain", "ac38", &entry, &keepers]);
-    assert_eq!((code, out.as_str()), (Some(1), "no line tells of it\n"));
+    assert_eq!((code, out.as_str()), (Some(1), "no log line mentions this request\n"));
 }
 
 /// Guards against a panic with a backtrace when the reader of the output closes the pipe, as in
--- a/crates/apricotroute/tests/evacuations.rs
+++ b/crates/apricotroute/tests/evacuations.rs
@@ -8,8 +8,9 @@
 /// Number of instances in each of the two zones: two keepers and an entry.
 const ZONE_SIZE: usize = 3;
 
-fn system(net: u8) -> System {
-    let mut system = System::new(system::Plan { net, zones: vec![(2, 1), (2, 1)], relays: false });
+fn system(subnet: u8) -> System {
+    let mut system =
+        System::new(system::Plan { subnet, zones: vec![(2, 1), (2, 1)], relays: false });
     for at in 0..4 {
         system.add_upstream(&format!("i-{at}"), at / 2, None);
     }
--- a/crates/apricotroute/tests/harness/mod.rs
+++ b/crates/apricotroute/tests/harness/mod.rs
@@ -338,7 +338,7 @@
 }
 
 /// Generates a new job id for a zone.
-pub fn mint(zone: &str) -> String {
+pub fn new_job_id(zone: &str) -> String {
     format!("{zone}-{}", uuid::Uuid::now_v7())
 }
 
@@ -355,13 +355,13 @@
         if check() {
             return true;
         }
-        pause(20);
+        sleep_ms(20);
     }
     check()
 }
 
 /// Sleeps for `ms` milliseconds.
-pub fn pause(ms: u64) {
+pub fn sleep_ms(ms: u64) {
     thread::sleep(time::Duration::from_millis(ms));
 }
 
--- a/crates/apricotroute/tests/odd_upstreams.rs
+++ b/crates/apricotroute/tests/odd_upstreams.rs
@@ -8,7 +8,7 @@
     net, sync, thread, time,
 };
 
-use harness::{Cluster, Plan, SERVICE, delete, eventually, get, job, mint, pause, post};
+use harness::{Cluster, Plan, SERVICE, delete, eventually, get, job, new_job_id, post, sleep_ms};
 use serde_json::{Value, json};
 
 /// Handles the connection on which a fake upstream receives its task number `number`.
@@ -94,7 +94,7 @@
 }
 
 fn submit(cluster: &Cluster, tasks: usize, deadline: u64) -> (String, u16, Value) {
-    let id = mint("west");
+    let id = new_job_id("west");
     let (status, body) = cluster.submit(0, &job(&id, tasks, deadline));
     (id, status, body)
 }
@@ -105,7 +105,7 @@
     let fake = FakeUpstream::start(|_, task, stream| {
         // The first tasks answer last.
         let index: u64 = task.rsplit('/').next().unwrap().parse().unwrap_or(0);
-        pause(400 - 40 * index);
+        sleep_ms(400 - 40 * index);
         answer(stream, &format!("{{\"of\": \"{task}\"}}"));
     });
     fake.announce(&cluster, "u1", 10);
@@ -127,7 +127,7 @@
     let (id, status, body) = submit(&cluster, 2, 5_000);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     assert!(body.get("answers").is_none());
-    pause(300);
+    sleep_ms(300);
     let starts = fake.received().iter().filter(|task| task.starts_with(&id)).count();
     assert!(starts <= 2, "no task is retried: {:?}", fake.received());
 }
@@ -210,7 +210,7 @@
     });
     fake.announce(&cluster, "u1", 4);
     let path = format!("http://{}/v1/requests/{SERVICE}", cluster.nodes[0].client);
-    let id = mint("west");
+    let id = new_job_id("west");
     for _ in 0..3 {
         let result = ureq::post(&path).header("Request-Id", &id).send("x");
         assert!(matches!(result, Err(ureq::Error::StatusCode(502))), "{result:?}");
@@ -223,7 +223,7 @@
     let cluster = cluster();
     let upstream = cluster.upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "2"]);
     cluster.wait_upstreams("west", 1);
-    let id = mint("west");
+    let id = new_job_id("west");
     let (to, spec) = (cluster.nodes[0].client, job(&id, 6, 20_000));
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &spec));
     assert!(eventually(2_000, || upstream.starts().len() == 2));
@@ -232,7 +232,7 @@
     assert_eq!(delete(to, &format!("/v1/jobs/{id}")).unwrap().0, 202);
     let (status, body) = waiting.join().unwrap();
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
-    pause(300);
+    sleep_ms(300);
     assert_eq!(upstream.starts().len(), 2, "the remaining tasks never start");
     let (status, body) = get(to, &format!("/v1/jobs/{id}")).unwrap();
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
--- a/crates/apricotroute/tests/owner_faults.rs
+++ b/crates/apricotroute/tests/owner_faults.rs
@@ -4,7 +4,9 @@
 
 use std::thread;
 
-use harness::{Cluster, Plan, check::Answers, eventually, job, mint, pause, upstream::Process};
+use harness::{
+    Cluster, Plan, check::Answers, eventually, job, new_job_id, sleep_ms, upstream::Process,
+};
 use serde_json::{Value, json};
 
 const TASKS: usize = 40;
@@ -35,7 +37,7 @@
 fn killed_midway() {
     let (mut cluster, upstreams) = cluster();
     let mut answers = Answers::default();
-    let id = mint("west");
+    let id = new_job_id("west");
     let spec = job(&id, TASKS, 20_000);
     let first = spawn_submit(&cluster, 0, &spec);
     assert!(eventually(3_000, || start_count(&upstreams) > 4));
@@ -50,12 +52,12 @@
     let (status, body) = again.join().unwrap();
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     let before = start_count(&upstreams);
-    pause(1_000);
+    sleep_ms(1_000);
     assert_eq!(start_count(&upstreams), before);
     assert!(before < TASKS);
     answers.verify(&upstreams);
     // The zone still runs new jobs.
-    let id = mint("west");
+    let id = new_job_id("west");
     let (status, body) = cluster.submit(1, &job(&id, 6, 10_000));
     assert_eq!(status, 200, "{body}");
 }
@@ -63,7 +65,7 @@
 #[test]
 fn killed_afterwards() {
     let (mut cluster, upstreams) = cluster();
-    let id = mint("west");
+    let id = new_job_id("west");
     let spec = job(&id, 6, 20_000);
     let (status, first) = cluster.submit(0, &spec);
     assert_eq!(status, 200, "{first}");
@@ -85,10 +87,10 @@
     // The owner is killed around the admission of the job: before the admission, during it, and
     // before the first task starts.
     for wait in [0, 1, 2, 4, 8] {
-        let id = mint("west");
+        let id = new_job_id("west");
         let spec = job(&id, 4, 10_000);
         let first = spawn_submit(&cluster, 0, &spec);
-        pause(wait);
+        sleep_ms(wait);
         cluster.kill(0);
         answers.record(&id, 4, &first.join().unwrap().1);
         let (status, body) = cluster.submit(1, &spec);
@@ -105,7 +107,7 @@
 fn frozen_and_woken() {
     let (cluster, upstreams) = cluster();
     let mut answers = Answers::default();
-    let id = mint("west");
+    let id = new_job_id("west");
     let spec = job(&id, TASKS, 20_000);
     let first = spawn_submit(&cluster, 0, &spec);
     assert!(eventually(3_000, || start_count(&upstreams) > 4));
@@ -114,13 +116,13 @@
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     answers.record(&id, TASKS, &body);
-    pause(1_000);
+    sleep_ms(1_000);
     let before = start_count(&upstreams);
     cluster.signal(0, "-CONT");
     let (status, body) = first.join().unwrap();
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     answers.record(&id, TASKS, &body);
-    pause(1_000);
+    sleep_ms(1_000);
     assert_eq!(start_count(&upstreams), before, "the resumed owner starts no task");
     answers.verify(&upstreams);
     cluster.wait_ready();
@@ -129,7 +131,7 @@
         status["members"].as_array().is_some_and(|members| members.len() == 3)
     };
     assert!(eventually(5_000, rejoined));
-    let id = mint("west");
+    let id = new_job_id("west");
     let (status, body) = cluster.submit(0, &job(&id, 6, 10_000));
     assert_eq!(status, 200, "{body}");
 }
@@ -138,7 +140,7 @@
 fn isolated_silently() {
     let (cluster, upstreams) = cluster();
     let mut answers = Answers::default();
-    let id = mint("west");
+    let id = new_job_id("west");
     let spec = job(&id, TASKS, 15_000);
     let first = spawn_submit(&cluster, 0, &spec);
     assert!(eventually(3_000, || start_count(&upstreams) > 4));
@@ -152,10 +154,10 @@
     };
     let before = job_starts();
     assert!(before < TASKS);
-    pause(1_000);
+    sleep_ms(1_000);
     assert_eq!(job_starts(), before, "the isolated owner stopped by its own clock");
     // The isolated instance refuses new jobs with a truthful state and serves idempotent requests.
-    let other = mint("west");
+    let other = new_job_id("west");
     let (status, body) = cluster.submit(0, &job(&other, 2, 6_000));
     assert_eq!((status, &body["state"]), (503, &json!("unknown")), "{body}");
     let path = format!("http://{}/v1/requests/{}", cluster.nodes[0].client, harness::SERVICE);
@@ -177,7 +179,7 @@
     // The owner receives messages from the other instances, but they receive none from it.
     let (cluster, upstreams) = cluster();
     let mut answers = Answers::default();
-    let id = mint("west");
+    let id = new_job_id("west");
     let spec = job(&id, TASKS, 15_000);
     let first = spawn_submit(&cluster, 0, &spec);
     assert!(eventually(3_000, || start_count(&upstreams) > 4));
@@ -186,7 +188,7 @@
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     answers.record(&id, TASKS, &body);
     let before = start_count(&upstreams);
-    pause(1_500);
+    sleep_ms(1_500);
     assert_eq!(start_count(&upstreams), before);
     cluster.cut(&[0], &[1, 2], false);
     let (_, body) = first.join().unwrap();
--- a/crates/apricotroute/tests/platform_path.rs
+++ b/crates/apricotroute/tests/platform_path.rs
@@ -15,10 +15,10 @@
 
 const KEEPERS: usize = 3;
 
-/// Starts one zone with three keepers; each system of this file needs its own `net`.
-fn system(net: u8, entries: usize, upstreams: usize) -> System {
+/// Starts one zone with three keepers; each system of this file needs its own `subnet`.
+fn system(subnet: u8, entries: usize, upstreams: usize) -> System {
     let mut system =
-        System::new(system::Plan { net, zones: vec![(KEEPERS, entries)], relays: false });
+        System::new(system::Plan { subnet, zones: vec![(KEEPERS, entries)], relays: false });
     for at in 0..upstreams {
         system.add_upstream(&format!("i-{at}"), 0, None);
     }
--- a/crates/apricotroute/tests/quotas.rs
+++ b/crates/apricotroute/tests/quotas.rs
@@ -4,7 +4,7 @@
 
 use std::thread;
 
-use harness::{Cluster, Plan, SERVICE, job, mint, pause, post};
+use harness::{Cluster, Plan, SERVICE, job, new_job_id, post, sleep_ms};
 use serde_json::{Value, json};
 
 fn cluster(values: &Value, arguments: &[&str]) -> (Cluster, harness::upstream::Process) {
@@ -18,7 +18,7 @@
 }
 
 fn team_job(team: &str, tasks: usize) -> Value {
-    let mut spec = job(&mint("west"), tasks, 10_000);
+    let mut spec = job(&new_job_id("west"), tasks, 10_000);
     spec["team"] = json!(team);
     spec
 }
@@ -30,7 +30,7 @@
     let to = cluster.nodes[0].client;
     let first = team_job("north", 8);
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &first));
-    pause(200);
+    sleep_ms(200);
     // The quota applies across all instances of the zone, and to whole jobs.
     let (status, body) = cluster.submit(1, &team_job("north", 3));
     assert_eq!((status, &body["state"]), (429, &json!("not_run")), "{body}");
@@ -55,7 +55,7 @@
     assert!((5..=8).contains(&admitted), "{statuses:?}");
     assert!(statuses.iter().all(|status| matches!(status, 200 | 429)), "{statuses:?}");
     assert_eq!(upstream.starts().len(), admitted);
-    pause(1_100);
+    sleep_ms(1_100);
     assert_eq!(cluster.submit(0, &team_job("north", 4)).0, 200);
 }
 
@@ -63,11 +63,11 @@
 fn full_queue() {
     let slow = ["--service-ms", "400", "--slots", "3"];
     let (cluster, upstream) = cluster(&json!({"max_queue": 4}), &slow);
-    let (status, body) = cluster.submit(0, &job(&mint("west"), 60, 10_000));
+    let (status, body) = cluster.submit(0, &job(&new_job_id("west"), 60, 10_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     assert!(body["retry_after_ms"].as_u64().is_some_and(|ms| ms >= 50), "{body}");
     assert!(upstream.starts().is_empty(), "the job is refused as a whole");
-    assert_eq!(cluster.submit(0, &job(&mint("west"), 5, 10_000)).0, 200);
+    assert_eq!(cluster.submit(0, &job(&new_job_id("west"), 5, 10_000)).0, 200);
 }
 
 #[test]
@@ -75,10 +75,10 @@
     let slow = ["--service-ms", "300", "--slots", "6"];
     let (cluster, upstream) = cluster(&json!({}), &slow);
     for _ in 0..4 {
-        assert_eq!(cluster.submit(0, &job(&mint("west"), 6, 10_000)).0, 200);
+        assert_eq!(cluster.submit(0, &job(&new_job_id("west"), 6, 10_000)).0, 200);
     }
     let before = upstream.starts().len();
-    let (status, body) = cluster.submit(0, &job(&mint("west"), 2, 100));
+    let (status, body) = cluster.submit(0, &job(&new_job_id("west"), 2, 100));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     assert_eq!(
         upstream.starts().len(),
--- a/crates/apricotroute/tests/same_id.rs
+++ b/crates/apricotroute/tests/same_id.rs
@@ -4,7 +4,7 @@
 
 use std::thread;
 
-use harness::{Plan, check::Answers, job, mint, pause};
+use harness::{Plan, check::Answers, job, new_job_id, sleep_ms};
 
 const CLIENTS: usize = 100;
 const TASKS: usize = 12;
@@ -20,7 +20,7 @@
     cluster.wait_upstreams("west", 2);
     let mut answers = Answers::default();
     for _ in 0..3 {
-        let id = mint("west");
+        let id = new_job_id("west");
         let spec = job(&id, TASKS, 10_000);
         let responses: Vec<_> = thread::scope(|scope| {
             let submit = |client: usize| {
@@ -46,10 +46,10 @@
     cluster.wait_upstreams("west", 1);
     let leader = cluster.leader("journal west").unwrap();
     let others: Vec<_> = (0..3).filter(|at| *at != leader).collect();
-    let id = mint("west");
+    let id = new_job_id("west");
     let spec = job(&id, TASKS, 10_000);
     cluster.kill(leader);
-    pause(50);
+    sleep_ms(50);
     let responses: Vec<_> = thread::scope(|scope| {
         let submit = |client: usize| {
             let (cluster, spec, at) = (&cluster, &spec, others[client % 2]);
--- a/crates/apricotroute/tests/seen_outside.rs
+++ b/crates/apricotroute/tests/seen_outside.rs
@@ -4,7 +4,7 @@
 
 use std::fs;
 
-use harness::{Plan, SERVICE, eventually, job, mint};
+use harness::{Plan, SERVICE, eventually, job, new_job_id};
 use serde_json::Value;
 
 #[test]
@@ -16,7 +16,7 @@
     let trace = "0af7651916cd43dd8448eb211c80319c";
     let response = ureq::post(format!("http://{}/v1/jobs", cluster.nodes[1].client))
         .header("traceparent", format!("00-{trace}-b7ad6b7169203331-01"))
-        .send(job(&mint("west"), 2, 3_000).to_string())
+        .send(job(&new_job_id("west"), 2, 3_000).to_string())
         .unwrap();
     assert!(response.headers()["traceparent"].to_str().unwrap().contains(trace));
     let spans = || -> Vec<Value> {
@@ -42,7 +42,7 @@
     cluster.create_service();
     let _upstream = cluster.upstream("u1", "west", &[0], &[]);
     cluster.wait_upstreams("west", 1);
-    assert_eq!(cluster.submit(0, &job(&mint("west"), 5, 3_000)).0, 200);
+    assert_eq!(cluster.submit(0, &job(&new_job_id("west"), 5, 3_000)).0, 200);
     assert_eq!(
         cluster.submit(0, &job("west-0190b6c4-7e2a-7c3e-8a54-000000000001", 5, 3_000)).0,
         503
--- a/crates/apricotroute/tests/settings_faults.rs
+++ b/crates/apricotroute/tests/settings_faults.rs
@@ -5,7 +5,7 @@
 
 use std::{collections, fs, io::Write as _, thread};
 
-use harness::{Cluster, Plan, eventually, get, pause};
+use harness::{Cluster, Plan, eventually, get, sleep_ms};
 use serde_json::{Value, json};
 
 fn change(cluster: &Cluster, at: usize, id: &str, base: Option<u64>, queue: u64) -> (u16, Value) {
@@ -101,7 +101,7 @@
         voters.len() == 3 && own_view == json!(voters)
     };
     assert!(eventually(5_000, is_repaired));
-    pause(500);
+    sleep_ms(500);
     // Right after the repair a second voter is lost together with its disk.
     cluster.kill(2);
     fs::remove_dir_all(cluster.nodes[2].folder.as_ref().unwrap()).unwrap();
--- a/crates/apricotroute/tests/shutdown.rs
+++ b/crates/apricotroute/tests/shutdown.rs
@@ -4,7 +4,7 @@
 
 use std::{thread, time};
 
-use harness::{Plan, check::Answers, delete, eventually, get, job, mint, pause, post};
+use harness::{Plan, check::Answers, delete, eventually, get, job, new_job_id, post, sleep_ms};
 use serde_json::json;
 
 #[test]
@@ -16,7 +16,7 @@
         cluster.upstream("u2", "west", &[2], &["--service-ms", "500"]),
     ];
     cluster.wait_upstreams("west", 2);
-    let specs: Vec<_> = (0..6).map(|_| (mint("west"), 8)).collect();
+    let specs: Vec<_> = (0..6).map(|_| (new_job_id("west"), 8)).collect();
     let to = cluster.nodes[0].client;
     let mut answers = Answers::default();
     let threads: Vec<_> = specs
@@ -26,13 +26,13 @@
             thread::spawn(move || post(to, "/v1/jobs", &spec))
         })
         .collect();
-    pause(300);
+    sleep_ms(300);
     cluster.signal(0, "-TERM");
     let operator = cluster.nodes[0].operator;
     let not_ready = || get(operator, "/readyz").is_none_or(|(status, _)| status == 503);
     assert!(eventually(1_000, not_ready));
     // New jobs are refused with a time to retry, and a second signal does not shorten the drain.
-    let (status, body) = post(to, "/v1/jobs", &job(&mint("west"), 2, 5_000));
+    let (status, body) = post(to, "/v1/jobs", &job(&new_job_id("west"), 2, 5_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     assert!(body["retry_after_ms"].as_u64().is_some_and(|ms| ms > 0), "{body}");
     cluster.signal(0, "-TERM");
@@ -50,7 +50,7 @@
         eventually(700, members),
         "the instance leaves long before its absence could be detected"
     );
-    let (status, body) = cluster.submit(1, &job(&mint("west"), 16, 10_000));
+    let (status, body) = cluster.submit(1, &job(&new_job_id("west"), 16, 10_000));
     assert_eq!(status, 200, "{body}");
 }
 
@@ -60,9 +60,9 @@
     cluster.create_service();
     let _upstream = cluster.upstream("u1", "west", &[0], &["--mode", "hang"]);
     cluster.wait_upstreams("west", 1);
-    let (to, spec) = (cluster.nodes[0].client, job(&mint("west"), 1, 60_000));
+    let (to, spec) = (cluster.nodes[0].client, job(&new_job_id("west"), 1, 60_000));
     let _waiting = thread::spawn(move || post(to, "/v1/jobs", &spec));
-    pause(300);
+    sleep_ms(300);
     let start = time::Instant::now();
     assert_eq!(cluster.terminate(0), Some(0));
     assert!(start.elapsed() < time::Duration::from_secs(6));
@@ -77,15 +77,15 @@
     let staying = cluster.upstream("u1", "west", &[0], &["--service-ms", "20"]);
     let mut leaving = cluster.upstream("u2", "west", &[1], &["--service-ms", "20"]);
     cluster.wait_upstreams("west", 2);
-    let (status, _) = cluster.submit(2, &job(&mint("west"), 100, 10_000));
+    let (status, _) = cluster.submit(2, &job(&new_job_id("west"), 100, 10_000));
     assert_eq!(status, 200);
     leaving.signal("-TERM");
     assert!(eventually(3_000, || leaving.child.try_wait().unwrap().is_some()));
-    pause(200);
+    sleep_ms(200);
     let before = leaving.starts().len();
     assert!(before > 0);
     for at in 0..3 {
-        let (status, body) = cluster.submit(at, &job(&mint("west"), 50, 10_000));
+        let (status, body) = cluster.submit(at, &job(&new_job_id("west"), 50, 10_000));
         assert_eq!(status, 200, "{body}");
     }
     assert_eq!(leaving.starts().len(), before);
@@ -101,7 +101,7 @@
     // The upstream is killed without a withdrawal, so its lease expires at every instance.
     upstream.child.kill().unwrap();
     cluster.wait_upstreams("west", 0);
-    let (status, body) = cluster.submit(2, &job(&mint("west"), 1, 2_000));
+    let (status, body) = cluster.submit(2, &job(&new_job_id("west"), 1, 2_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     // An upstream that is withdrawn by name is gone at every instance at once.
     let _other = cluster.upstream("u2", "west", &[1], &[]);
@@ -123,13 +123,13 @@
     cluster.create_service();
     let upstream = cluster.upstream("u1", "west", &[1], &["--service-ms", "1500"]);
     cluster.wait_upstreams("west", 1);
-    let (to, spec) = (cluster.nodes[0].client, job(&mint("west"), 2, 10_000));
+    let (to, spec) = (cluster.nodes[0].client, job(&new_job_id("west"), 2, 10_000));
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &spec));
     assert!(eventually(2_000, || upstream.starts().len() == 2));
     cluster.signal(0, "-TERM");
-    pause(100);
+    sleep_ms(100);
     for _ in 0..2 {
-        let (status, body) = cluster.submit(2, &job(&mint("west"), 1, 8_000));
+        let (status, body) = cluster.submit(2, &job(&new_job_id("west"), 1, 8_000));
         assert_eq!(status, 200, "{body}");
     }
     assert_eq!(waiting.join().unwrap().0, 200);
@@ -143,9 +143,9 @@
     cluster.create_service();
     let _upstream = cluster.upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "3"]);
     cluster.wait_upstreams("west", 1);
-    let (to, spec) = (cluster.nodes[0].client, job(&mint("west"), 1, 60_000));
+    let (to, spec) = (cluster.nodes[0].client, job(&new_job_id("west"), 1, 60_000));
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &spec));
-    pause(300);
+    sleep_ms(300);
     cluster.isolate(&[0], true);
     let (status, body) = waiting.join().unwrap();
     assert_eq!((status, &body["state"]), (503, &json!("unknown")), "{body}");
--- a/crates/apricotroute/tests/soak.rs
+++ b/crates/apricotroute/tests/soak.rs
@@ -36,12 +36,12 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Runs one seed; concurrent runs in one test process need different values of `net`.
-fn soak(net: u8, seed: u64, ms: u64) {
+/// Runs one seed; concurrent runs in one test process need different values of `subnet`.
+fn soak(subnet: u8, seed: u64, ms: u64) {
     let duration = Duration::from_millis(ms);
     let entries = env_var("SOAK_ENTRIES").unwrap_or(2);
     let size = plan::Size { zones: 3, keepers: 1, entries, upstreams: 5 };
-    play::play(net, seed, size, duration);
+    play::play(subnet, seed, size, duration);
 }
 
 #[test]
--- a/crates/apricotroute/tests/soak/judge.rs
+++ b/crates/apricotroute/tests/soak/judge.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use platform::standin::Past;
+use platform::standin::RunRecord;
 
 use super::load::{Observations, Request};
 
@@ -20,10 +20,10 @@
 const TIME_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// The runs on all upstreams, by task name.
-pub type Runs = collections::BTreeMap<String, Vec<Past>>;
+pub type Runs = collections::BTreeMap<String, Vec<RunRecord>>;
 
 /// Groups runs by task, in the order of their starts.
-pub fn group_runs(runs: impl Iterator<Item = Past>) -> Runs {
+pub fn group_runs(runs: impl Iterator<Item = RunRecord>) -> Runs {
     let mut groups = Runs::new();
     for run in runs {
         groups.entry(run.task.clone()).or_default().push(run);
@@ -38,7 +38,7 @@
 pub fn check_runs(observed: &Observations, runs: &Runs) {
     for (task, list) in runs {
         for pair in list.windows(2) {
-            let end = pair[0].over.map(|(at, _)| at);
+            let end = pair[0].ended.map(|(at, _)| at);
             if end.is_none_or(|end| end > pair[1].began + TIME_TOLERANCE) {
                 observed.violation(format!("{task} ran twice at the same time: {pair:?}"));
             }
@@ -55,8 +55,8 @@
         match request.last_status() {
             200 if request.state == "completed" => {
                 let at = request.attempts.last().map(|(_, at)| *at).unwrap();
-                let done = |run: &Past| {
-                    run.over.is_some_and(|(end, outcome)| {
+                let done = |run: &RunRecord| {
+                    run.ended.is_some_and(|(end, outcome)| {
                         outcome == "done" && end <= at + TIME_TOLERANCE
                     })
                 };
@@ -113,7 +113,7 @@
     observed: &Observations,
     id: &str,
     leave: Instant,
-    runs: &[Past],
+    runs: &[RunRecord],
     disturbed: &[(Instant, Instant)],
 ) {
     let connected =
--- a/crates/apricotroute/tests/soak/plan.rs
+++ b/crates/apricotroute/tests/soak/plan.rs
@@ -48,7 +48,7 @@
     /// Makes the tasks of an upstream hang for this long.
     Hang(usize, Duration),
     /// Makes an upstream leave all orders unanswered for this long.
-    Mute(usize, Duration),
+    Unresponsive(usize, Duration),
     /// Reduces the capacity of an upstream to one task for this long.
     Shrink(usize, Duration),
     /// Submits a job in a zone whose task crashes each upstream that starts it.
@@ -86,7 +86,7 @@
             | Self::Leave(_)
             | Self::Fail(..)
             | Self::Hang(..)
-            | Self::Mute(..)
+            | Self::Unresponsive(..)
             | Self::Shrink(..)
             | Self::Fatal(_)
             | Self::Publish
@@ -172,7 +172,7 @@
         20 => Fault::Leave(upstream),
         21 => Fault::Fail(upstream, time),
         22 => Fault::Hang(upstream, time),
-        23 => Fault::Mute(upstream, time),
+        23 => Fault::Unresponsive(upstream, time),
         24 => match rng.random_range(0..3) {
             0 => Fault::Race,
             _ => Fault::Invalid,
--- a/crates/apricotroute/tests/soak/play.rs
+++ b/crates/apricotroute/tests/soak/play.rs
@@ -39,7 +39,7 @@
     Continue(usize),
     Unblock(usize, usize),
     EndDelay(usize),
-    ResetMood(usize),
+    ResetBehavior(usize),
     RestoreRoom(usize),
     Replace(usize),
     EndLeave(usize),
@@ -71,8 +71,8 @@
 /// # Panics
 ///
 /// If an invariant is violated.
-pub fn play(net: u8, seed: u64, size: Size, duration: Duration) {
-    let mut player = Player::new(net, seed, size);
+pub fn play(subnet: u8, seed: u64, size: Size, duration: Duration) {
+    let mut player = Player::new(subnet, seed, size);
     player.prepare();
     player.start_load(seed);
     let start = Instant::now();
@@ -89,9 +89,9 @@
 }
 
 impl Player {
-    fn new(net: u8, seed: u64, size: Size) -> Self {
+    fn new(subnet: u8, seed: u64, size: Size) -> Self {
         let zones = vec![(size.keepers, size.entries); size.zones];
-        let system = System::new(system::Plan { net, zones, relays: true });
+        let system = System::new(system::Plan { subnet, zones, relays: true });
         let operators = system.keepers().map(|at| system.operator(at)).collect();
         let launches = system.nodes.iter().map(|node| Some(node.launches)).collect();
         Self {
@@ -309,9 +309,15 @@
                 self.scheduled
                     .push((Instant::now() + Duration::from_secs(3), Step::EndLeave(upstream)));
             }
-            Fault::Fail(upstream, time) => self.set_mood(upstream, standin::Mood::Failing, time),
-            Fault::Hang(upstream, time) => self.set_mood(upstream, standin::Mood::Hanging, time),
-            Fault::Mute(upstream, time) => self.set_mood(upstream, standin::Mood::Mute, time),
+            Fault::Fail(upstream, time) => {
+                self.set_behavior(upstream, standin::Behavior::Failing, time);
+            }
+            Fault::Hang(upstream, time) => {
+                self.set_behavior(upstream, standin::Behavior::Hanging, time);
+            }
+            Fault::Unresponsive(upstream, time) => {
+                self.set_behavior(upstream, standin::Behavior::Unresponsive, time);
+            }
             Fault::Shrink(upstream, time) => {
                 let (at, _) = self.upstreams[upstream];
                 self.system.upstreams[at].set_room(TASK_CPU);
@@ -339,9 +345,9 @@
                     self.system.faults.delay(at, to, Duration::ZERO);
                 }
             }
-            Step::ResetMood(upstream) => {
+            Step::ResetBehavior(upstream) => {
                 let (at, _) = self.upstreams[upstream];
-                self.system.upstreams[at].set_mood(standin::Mood::Sound);
+                self.system.upstreams[at].set_behavior(standin::Behavior::Healthy);
             }
             Step::RestoreRoom(upstream) => {
                 let (at, _) = self.upstreams[upstream];
@@ -422,10 +428,10 @@
         self.scheduled.push((Instant::now() + down, Step::Replace(upstream)));
     }
 
-    fn set_mood(&mut self, upstream: usize, mood: standin::Mood, time: Duration) {
+    fn set_behavior(&mut self, upstream: usize, behavior: standin::Behavior, time: Duration) {
         let (at, _) = self.upstreams[upstream];
-        self.system.upstreams[at].set_mood(mood);
-        self.scheduled.push((Instant::now() + time, Step::ResetMood(upstream)));
+        self.system.upstreams[at].set_behavior(behavior);
+        self.scheduled.push((Instant::now() + time, Step::ResetBehavior(upstream)));
     }
 
     /// Lets this many operators send different configurations under the next version.
@@ -466,9 +472,9 @@
         for thread in self.threads.drain(..) {
             thread.join().unwrap();
         }
-        let runs: Vec<_> = self.system.upstreams.iter().map(standin::Standin::past).collect();
+        let runs: Vec<_> = self.system.upstreams.iter().map(standin::Standin::history).collect();
         for (at, upstream) in self.system.upstreams.iter().enumerate() {
-            if let Some(leave) = upstream.told() {
+            if let Some(leave) = upstream.leave_acked() {
                 let id = format!("upstream {at}");
                 judge::check_drained(&self.observed, &id, leave, &runs[at], &self.disturbed);
             }
--- a/crates/apricotroute/tests/system/mod.rs
+++ b/crates/apricotroute/tests/system/mod.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The third byte of all addresses, which keeps the systems of one test run apart.
-    pub net: u8,
+    pub subnet: u8,
     /// The numbers of keepers and entries in each availability zone.
     pub zones: Vec<(usize, usize)>,
     /// Whether the instances reach each other through relays.
@@ -63,7 +63,7 @@
 }
 
 /// The second byte of all addresses of a system. No other system that runs on this machine with
-/// the same `net` has the same byte.
+/// the same `subnet` has the same byte.
 #[derive(Debug)]
 struct AddressBlock {
     byte: u8,
@@ -72,11 +72,11 @@
 
 impl AddressBlock {
     /// Reserves a free block by listening on an address in it that no instance uses.
-    fn reserve(net: u8) -> Self {
+    fn reserve(subnet: u8) -> Self {
         const BYTES: std::ops::Range<u8> = 64..128;
         const PORT: u16 = 7100;
         let reserve = |byte| {
-            let at = net::SocketAddr::from(([127, byte, net, 255], PORT));
+            let at = net::SocketAddr::from(([127, byte, subnet, 255], PORT));
             let listener = net::TcpListener::bind(at).ok()?;
             Some(Self { byte, _listener: listener })
         };
@@ -100,7 +100,7 @@
         }
         let folder = tempfile::tempdir().unwrap();
         let faults = sync::Arc::default();
-        let (upstreams, block) = (Vec::new(), AddressBlock::reserve(plan.net));
+        let (upstreams, block) = (Vec::new(), AddressBlock::reserve(plan.subnet));
         let mut system = Self { folder, nodes, runtime, upstreams, faults, plan, block };
         for at in 0..system.nodes.len() {
             system.write_settings(at, true, &json!({}));
@@ -163,7 +163,7 @@
     }
 
     fn address(&self, at: usize, port: u16) -> net::SocketAddr {
-        net::SocketAddr::from(([127, self.block.byte, self.plan.net, at as u8 + 1], port))
+        net::SocketAddr::from(([127, self.block.byte, self.plan.subnet, at as u8 + 1], port))
     }
 
     /// The path of the bootstrap file of an instance.
--- a/crates/apricotroute/tests/upstream_troubles.rs
+++ b/crates/apricotroute/tests/upstream_troubles.rs
@@ -13,10 +13,10 @@
 /// Number of upstreams at the start; each has room for two tasks.
 const UPSTREAMS: usize = 4;
 
-/// Starts a system of one zone and waits until it serves jobs; `net` distinguishes the systems of
-/// this file.
-fn system(net: u8) -> System {
-    let mut system = System::new(system::Plan { net, zones: vec![(KEEPERS, 1)], relays: false });
+/// Starts a system of one zone and waits until it serves jobs; `subnet` distinguishes the systems
+/// of this file.
+fn system(subnet: u8) -> System {
+    let mut system = System::new(system::Plan { subnet, zones: vec![(KEEPERS, 1)], relays: false });
     for at in 0..UPSTREAMS {
         system.add_upstream(&format!("i-{at}"), 0, None);
     }
@@ -82,9 +82,9 @@
         }
     }
     let name = format!("{}.0.0.0", id(1_000));
-    let of_task = |past: &platform::standin::Past| past.task == name;
+    let of_task = |run: &platform::standin::RunRecord| run.task == name;
     let starts: usize =
-        system.upstreams.iter().map(|up| up.past().iter().filter(|p| of_task(p)).count()).sum();
+        system.upstreams.iter().map(|up| up.history().iter().filter(|p| of_task(p)).count()).sum();
     assert!((2..=3).contains(&starts), "the task started {starts} times");
     assert_eq!(answer.join().unwrap(), (200, json!({"State": "failed"})));
     for other in others {
@@ -98,13 +98,14 @@
 fn room_shrinks() {
     let system = system(2);
     for upstream in &system.upstreams {
-        upstream.unguard();
+        upstream.disable_checks();
         upstream.set_room(system::TASK_CPU);
     }
     // Each upstream reports its capacity every 300 ms.
     thread::sleep(Duration::from_secs(1));
-    let excess = || system.upstreams.iter().map(platform::standin::Standin::excess).sum::<u64>();
-    let before = excess();
+    let excess_starts =
+        || system.upstreams.iter().map(platform::standin::Standin::excess_starts).sum::<u64>();
+    let before = excess_starts();
     let url = |number: usize| format!("http://{}/board/{}", system.client(ENTRY), id(number));
     // The jobs are five eighths of the load that four upstreams with room for one task each can
     // handle.
@@ -117,11 +118,11 @@
     for answer in jobs {
         assert_eq!(answer.join().unwrap(), (200, json!({"State": "completed"})));
     }
-    assert_eq!(excess(), before, "tasks that exceed the capacity of their upstream");
+    assert_eq!(excess_starts(), before, "tasks that exceed the capacity of their upstream");
     for upstream in &system.upstreams {
         upstream.set_room(2 * system::TASK_CPU);
     }
     thread::sleep(Duration::from_secs(1));
     assert_eq!(submit(url(20), job(8)).join().unwrap(), (200, json!({"State": "completed"})));
-    assert_eq!(excess(), before, "tasks that exceed the capacity of their upstream");
+    assert_eq!(excess_starts(), before, "tasks that exceed the capacity of their upstream");
 }
--- a/crates/apricotroute/tests/whole_path.rs
+++ b/crates/apricotroute/tests/whole_path.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use harness::{Plan, SERVICE, check::Answers, eventually, job, mint, pause, post};
+use harness::{Plan, SERVICE, check::Answers, eventually, job, new_job_id, post, sleep_ms};
 use serde_json::json;
 
 #[test]
@@ -13,7 +13,7 @@
         [cluster.upstream("u1", "west", &[0], &[]), cluster.upstream("u2", "west", &[1], &[])];
     cluster.wait_upstreams("west", 2);
 
-    let id = mint("west");
+    let id = new_job_id("west");
     let spec = job(&id, 220, 20_000);
     let (status, first) = cluster.submit(0, &spec);
     assert_eq!((status, &first["state"]), (200, &json!("complete")), "{first}");
@@ -44,14 +44,14 @@
     cluster.create_service();
     let upstream = cluster.upstream("u1", "west", &[0], &["--service-ms", "2500"]);
     cluster.wait_upstreams("west", 1);
-    let id = mint("west");
+    let id = new_job_id("west");
     let mut spec = job(&id, 2, 1);
     spec.as_object_mut().unwrap().remove("deadline_ms");
     let (to, first) = (cluster.nodes[0].client, spec.clone());
     let first = std::thread::spawn(move || post(to, "/v1/jobs", &first));
     assert!(eventually(2_000, || upstream.starts().len() == 2));
     // By now every instance has learned of the job from the journal.
-    pause(400);
+    sleep_ms(400);
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!(status, 200, "{body}");
     assert_eq!(first.join().unwrap(), (200, body));
--- a/crates/apricotroute/tests/zone_faults.rs
+++ b/crates/apricotroute/tests/zone_faults.rs
@@ -4,7 +4,7 @@
 
 use std::time;
 
-use harness::{Plan, check::Answers, eventually, job, mint, pause};
+use harness::{Plan, check::Answers, eventually, job, new_job_id, sleep_ms};
 use serde_json::json;
 
 #[test]
@@ -14,11 +14,11 @@
     let upstreams = [cluster.upstream("u1", "west", &[0, 1, 2], &[])];
     cluster.wait_upstreams("west", 1);
     let mut answers = Answers::default();
-    let id = mint("west");
+    let id = new_job_id("west");
     let (status, body) = cluster.submit(0, &job(&id, 4, 10_000));
     assert_eq!(status, 200, "{body}");
     answers.record(&id, 4, &body);
-    let unused = mint("west");
+    let unused = new_job_id("west");
     for at in 0..3 {
         cluster.kill(at);
     }
@@ -35,7 +35,7 @@
         }
     }
     assert_eq!(upstreams[0].starts().len(), 4);
-    let fresh = mint("west");
+    let fresh = new_job_id("west");
     let (status, body) = cluster.submit(1, &job(&fresh, 4, 10_000));
     assert_eq!(status, 200, "{body}");
     answers.record(&fresh, 4, &body);
@@ -52,16 +52,16 @@
     cluster.wait_upstreams("mid", 1);
     let mut answers = Answers::default();
     // An instance of another zone forwards a job to the job's home zone.
-    let id = mint("west");
+    let id = new_job_id("west");
     let (status, body) = cluster.submit(5, &job(&id, 3, 10_000));
     assert_eq!(status, 200, "{body}");
     answers.record(&id, 3, &body);
 
     cluster.isolate(&[0, 1], true);
-    pause(2_500);
+    sleep_ms(2_500);
     // The isolated zone still runs its own jobs, at both of its instances.
     for at in [0, 1] {
-        let id = mint("west");
+        let id = new_job_id("west");
         let submit = || cluster.submit(at, &job(&id, 3, 5_000));
         let (status, body) = submit();
         assert_eq!(status, 200, "{body}");
@@ -69,12 +69,12 @@
     }
     // No instance of another zone knows the state of the isolated zone's jobs, and the other zones
     // still run their own.
-    let isolated = mint("west");
+    let isolated = new_job_id("west");
     let start = time::Instant::now();
     let (status, body) = cluster.submit(2, &job(&isolated, 3, 5_000));
     assert_eq!((status, &body["state"]), (503, &json!("unknown")), "{body}");
     assert!(start.elapsed() < time::Duration::from_millis(2_500), "{:?}", start.elapsed());
-    let id = mint("mid");
+    let id = new_job_id("mid");
     let (status, body) = cluster.submit(3, &job(&id, 3, 5_000));
     assert_eq!(status, 200, "{body}");
     answers.record(&id, 3, &body);
@@ -90,7 +90,7 @@
 
     cluster.isolate(&[0, 1], false);
     cluster.wait_version(version);
-    let healed = || cluster.submit(5, &job(&mint("west"), 2, 5_000)).0 == 200;
+    let healed = || cluster.submit(5, &job(&new_job_id("west"), 2, 5_000)).0 == 200;
     assert!(eventually(8_000, healed));
     answers.verify(&upstreams);
 }
@@ -102,14 +102,14 @@
     cluster.create_service();
     let upstreams = [cluster.upstream("u1", "mid", &[2], &[])];
     cluster.wait_upstreams("mid", 1);
-    let (status, body) = cluster.submit(0, &job(&mint("west"), 3, 3_000));
+    let (status, body) = cluster.submit(0, &job(&new_job_id("west"), 3, 3_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     let allow = json!({"values": {"cross_zone": true}});
     let (_, body) = cluster.set(0, harness::SERVICE, &allow);
     cluster.wait_version(body["version"].as_u64().unwrap());
     let mut answers = Answers::default();
     for at in [0, 1] {
-        let id = mint("west");
+        let id = new_job_id("west");
         let spec = job(&id, 3, 5_000);
         for again in [at, 1 - at] {
             let (status, body) = cluster.submit(again, &spec);
@@ -120,13 +120,13 @@
     assert_eq!(upstreams[0].starts().len(), 6);
     answers.verify(&upstreams);
     // When the zone that runs the job becomes unreachable, no task is run again.
-    let id = mint("west");
+    let id = new_job_id("west");
     cluster.isolate(&[2], true);
     let (status, body) = cluster.submit(0, &job(&id, 3, 4_000));
     assert!(matches!(status, 502..=504), "{body}");
     answers.record(&id, 3, &body);
     cluster.isolate(&[2], false);
-    pause(1_500);
+    sleep_ms(1_500);
     answers.verify(&upstreams);
 }
 
@@ -143,7 +143,7 @@
     cluster.start(3);
     let ready = || harness::get(cluster.nodes[3].operator, "/readyz").is_some_and(|r| r.0 == 200);
     assert!(eventually(10_000, ready));
-    let served = || cluster.submit(3, &job(&mint("west"), 2, 3_000)).0 == 200;
+    let served = || cluster.submit(3, &job(&new_job_id("west"), 2, 3_000)).0 == 200;
     assert!(eventually(3_000, served));
     cluster.isolate(&[0], false);
     let (status, body) = cluster.set(1, "ireland", &json!({"values": {"max_queue": 7}}));
@@ -161,7 +161,7 @@
         cluster.wait_upstreams("west", 1);
         cluster.kill(lost);
         let mut answers = Answers::default();
-        let id = mint("west");
+        let id = new_job_id("west");
         let (status, body) = cluster.submit(1 - lost, &job(&id, 3, 8_000));
         assert_eq!(status, 200, "{body}");
         answers.record(&id, 3, &body);
@@ -180,9 +180,9 @@
     // The leader of the settings group receives messages from all instances; the other five do not.
     let _upstream = cluster.upstream("u1", "west", &[0, 1, 2], &[]);
     cluster.wait_upstreams("west", 1);
-    pause(3_000);
+    sleep_ms(3_000);
     for at in 3..6 {
-        let (status, body) = cluster.submit(at, &job(&mint("mid"), 2, 5_000));
+        let (status, body) = cluster.submit(at, &job(&new_job_id("mid"), 2, 5_000));
         assert_eq!(status, 200, "at {at}: {body}");
     }
 }
--- a/crates/link/src/http.rs
+++ b/crates/link/src/http.rs
@@ -58,7 +58,7 @@
     /// Status code.
     pub status: u16,
     /// Value of the `Content-Type` header.
-    pub content: String,
+    pub content_type: String,
     /// Headers in addition to `Content-Type`.
     pub headers: Vec<(&'static str, String)>,
     /// Response body.
@@ -68,14 +68,14 @@
 impl Response {
     /// Creates a JSON response.
     pub fn json(status: u16, body: impl Into<Bytes>) -> Self {
-        let content = "application/json".to_owned();
-        Self { status, content, headers: Vec::new(), body: body.into() }
+        let content_type = "application/json".to_owned();
+        Self { status, content_type, headers: Vec::new(), body: body.into() }
     }
 
     /// Creates a plain text response.
     pub fn text(status: u16, body: impl Into<Bytes>) -> Self {
-        let content = "text/plain; charset=utf-8".to_owned();
-        Self { status, content, headers: Vec::new(), body: body.into() }
+        let content_type = "text/plain; charset=utf-8".to_owned();
+        Self { status, content_type, headers: Vec::new(), body: body.into() }
     }
 
     /// Returns this response with one more header.
@@ -149,7 +149,7 @@
 
 /// Why a request could not be received in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum RequestError {
     /// The body is larger than [`MAX_BODY`].
     TooLarge,
     /// The body did not arrive within [`BODY_TIMEOUT`].
@@ -157,7 +157,7 @@
     /// The connection failed before the end of the body.
     Broken,
     /// The bodies that are being read exceed [`MAX_BUFFERED`].
-    Crowded,
+    Overloaded,
 }
 
 /// Handles the requests of a listener.
@@ -167,7 +167,7 @@
     fn handle(&self, request: Request, responder: Responder);
 
     /// Returns the response to a request that could not be received in full.
-    fn fault(&self, fault: Fault) -> Response;
+    fn fault(&self, error: RequestError) -> Response;
 }
 
 /// A listener that accepts connections until it is closed.
@@ -292,8 +292,8 @@
     let reading = tokio::time::timeout(BODY_TIMEOUT, read_body(body, &shared.body_permits));
     let body = match reading.await {
         Ok(Ok(body)) => body,
-        Ok(Err(fault)) => return encode(shared.handler.fault(fault), true),
-        Err(_) => return encode(shared.handler.fault(Fault::TooSlow), true),
+        Ok(Err(error)) => return encode(shared.handler.fault(error), true),
+        Err(_) => return encode(shared.handler.fault(RequestError::TooSlow), true),
     };
     let path = head.uri.path().to_owned();
     let request = Request { method: head.method, path, headers: head.headers, body };
@@ -313,12 +313,12 @@
 async fn read_body(
     mut body: Incoming,
     body_permits: &async_sync::Semaphore,
-) -> Result<Bytes, Fault> {
+) -> Result<Bytes, RequestError> {
     let mut permits = Vec::new();
     let mut parts = Vec::new();
     let mut size = 0;
     while let Some(frame) = body.frame().await {
-        let frame = frame.ok().ok_or(Fault::Broken)?;
+        let frame = frame.ok().ok_or(RequestError::Broken)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
@@ -332,12 +332,12 @@
             continue;
         }
         let permit = body_permits.try_acquire_many(data.len() as u32).ok();
-        let permit = permit.ok_or(Fault::Crowded)?;
+        let permit = permit.ok_or(RequestError::Overloaded)?;
         permits.push(permit);
         parts.push(data);
     }
     if size > MAX_BODY {
-        return Err(Fault::TooLarge);
+        return Err(RequestError::TooLarge);
     }
     Ok(match parts.len() {
         0 => Bytes::new(),
@@ -349,7 +349,7 @@
 fn encode(response: Response, close: bool) -> hyper::Response<Full<Bytes>> {
     let mut builder = hyper::Response::builder()
         .status(StatusCode::from_u16(response.status).unwrap_or(StatusCode::OK))
-        .header(header::CONTENT_TYPE, &response.content);
+        .header(header::CONTENT_TYPE, &response.content_type);
     for (name, value) in &response.headers {
         builder = builder.header(*name, value);
     }
--- a/crates/link/src/metric.rs
+++ b/crates/link/src/metric.rs
@@ -137,14 +137,14 @@
 }
 
 /// Records by how many milliseconds an answer was later than its longest task.
-pub fn note_over(service: &str, ms: f64) {
+pub fn record_over_ideal(service: &str, ms: f64) {
     if let Some(metrics) = metrics() {
         metrics.over_ideal.record(ms, &[KeyValue::new("service", service.to_owned())]);
     }
 }
 
 /// Records the duration of a call to an upstream, by its order and its outcome.
-pub fn note_call(order: &'static str, outcome: &'static str, took: time::Duration) {
+pub fn record_call(order: &'static str, outcome: &'static str, took: time::Duration) {
     if let Some(metrics) = metrics() {
         let labels = [KeyValue::new("order", order), KeyValue::new("outcome", outcome)];
         metrics.calls.record(took.as_secs_f64(), &labels);
@@ -152,14 +152,14 @@
 }
 
 /// Records how long a task waited between the arrival of its job and its own start.
-pub fn note_start(waited: time::Duration) {
+pub fn record_start(waited: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.start_waits.record(waited.as_secs_f64(), &[]);
     }
 }
 
 /// Records the time from a job's arrival until the first of its tasks was started.
-pub fn note_first_start(waited: time::Duration) {
+pub fn record_first_start(waited: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.first_waits.record(waited.as_secs_f64(), &[]);
     }
@@ -167,7 +167,7 @@
 
 /// Records how long room on an upstream was unused while the task that was then started there was
 /// already waiting.
-pub fn note_idle_room(idle: time::Duration) {
+pub fn record_idle_room(idle: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.idle_rooms.record(idle.as_secs_f64(), &[]);
     }
@@ -175,21 +175,21 @@
 
 /// Records the duration of one part of a task: the order to start it, its work, or the report of
 /// its end.
-pub fn note_part(part: &'static str, took: time::Duration) {
+pub fn record_part(part: &'static str, took: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.task_parts.record(took.as_secs_f64(), &[KeyValue::new("part", part)]);
     }
 }
 
 /// Records the age of the report of a zone's free room that was used to hand tasks to the zone.
-pub fn note_load_age(age: time::Duration) {
+pub fn record_load_age(age: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.load_ages.record(age.as_secs_f64(), &[]);
     }
 }
 
 /// Records the time until a reply, by its outcome and the requested service.
-pub fn note_reply(outcome: &'static str, service: &str, took: time::Duration) {
+pub fn record_reply(outcome: &'static str, service: &str, took: time::Duration) {
     if let Some(metrics) = metrics() {
         let service = KeyValue::new("service", service.to_owned());
         metrics.replies.record(took.as_secs_f64(), &[KeyValue::new("outcome", outcome), service]);
@@ -197,21 +197,21 @@
 }
 
 /// Records the duration of a synced write to the disk.
-pub fn note_sync(took: time::Duration) {
+pub fn record_sync(took: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.disk_syncs.record(took.as_secs_f64(), &[]);
     }
 }
 
 /// Records the time to read and check a configuration before it took effect.
-pub fn note_read(took: time::Duration) {
+pub fn record_read(took: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.config_reads.record(took.as_secs_f64(), &[]);
     }
 }
 
 /// Counts a log line that was left out to limit the log rate, by its message.
-pub fn count_left_out(kind: &'static str) {
+pub fn count_dropped_line(kind: &'static str) {
     if let Some(metrics) = metrics() {
         metrics.dropped_lines.add(1, &[KeyValue::new("kind", kind)]);
     }
--- a/crates/link/src/peer.rs
+++ b/crates/link/src/peer.rs
@@ -44,7 +44,7 @@
     fn deliver(&self, from: &name::Name, body: Bytes) -> bool;
 
     /// Returns whether the instance `name` may open a stream to this instance.
-    fn knows(&self, name: &name::Name) -> bool;
+    fn allows_peer(&self, name: &name::Name) -> bool;
 }
 
 /// The sending ends of the streams to all other instances.
@@ -222,7 +222,7 @@
             return Err(tonic::Status::failed_precondition(why));
         }
         let from = name::Name::new(&hello.from);
-        if !self.inbox.knows(&from) {
+        if !self.inbox.allows_peer(&from) {
             metric::count_message("refused_sender", 0);
             let why = format!("instance {from} is not known here");
             return Err(tonic::Status::permission_denied(why));
--- a/crates/link/src/span.rs
+++ b/crates/link/src/span.rs
@@ -43,7 +43,7 @@
     /// Start time.
     pub start: time::SystemTime,
     /// Attributes.
-    pub notes: Vec<(&'static str, String)>,
+    pub attributes: Vec<(&'static str, String)>,
 }
 
 /// Exports finished spans.
@@ -120,7 +120,7 @@
             opentelemetry::Context::new().with_remote_span_context(remote)
         };
         let parent = span.parent.map(remote).unwrap_or_default();
-        let notes = span.notes.into_iter().map(|(key, value)| KeyValue::new(key, value));
+        let attributes = span.attributes.into_iter().map(|(key, value)| KeyValue::new(key, value));
         let kind = match span.side {
             Side::Server => SpanKind::Server,
             Side::Client => SpanKind::Client,
@@ -129,7 +129,7 @@
         let builder = SpanBuilder::from_name(span.name)
             .with_kind(kind)
             .with_start_time(span.start)
-            .with_attributes(notes.collect::<Vec<_>>());
+            .with_attributes(attributes.collect::<Vec<_>>());
         CURRENT.set(Some(span.context));
         drop(tracer.build_with_context(builder, &parent));
         CURRENT.set(None);
@@ -176,9 +176,9 @@
 
 impl JsonExporter {
     fn line(&self, span: &sdk::SpanData) -> String {
-        let note = |note: &KeyValue| (note.key.to_string(), note.value.to_string().into());
-        let notes: serde_json::Map<String, serde_json::Value> =
-            span.attributes.iter().map(note).collect();
+        let entry = |item: &KeyValue| (item.key.to_string(), item.value.to_string().into());
+        let attributes: serde_json::Map<String, serde_json::Value> =
+            span.attributes.iter().map(entry).collect();
         let parent = span.parent_span_id;
         let micros = |at: time::SystemTime| {
             at.duration_since(time::UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
@@ -192,7 +192,7 @@
             "instance": self.instance,
             "start_us": micros(span.start_time),
             "end_us": micros(span.end_time),
-            "notes": notes,
+            "notes": attributes,
         });
         format!("{line}\n")
     }
--- a/crates/link/src/task.rs
+++ b/crates/link/src/task.rs
@@ -26,9 +26,9 @@
     /// Payload.
     pub body: Bytes,
     /// Content type of the payload.
-    pub content: String,
-    /// Time left until the deadline.
-    pub left: time::Duration,
+    pub content_type: String,
+    /// Time until the deadline.
+    pub timeout: time::Duration,
     /// End of the lease under which the task may be started, or `None` if it needs no lease.
     pub lease: Option<time::Instant>,
     /// Trace context of the call.
@@ -86,11 +86,11 @@
             .agent
             .post(format!("http://{}/v1/tasks", task.address))
             .header("Task-Id", &task.id)
-            .header("Deadline-Ms", task.left.as_millis().to_string())
+            .header("Deadline-Ms", task.timeout.as_millis().to_string())
             .header("traceparent", task.span.to_string())
-            .header("Content-Type", &task.content)
+            .header("Content-Type", &task.content_type)
             .config()
-            .timeout_global(Some(task.left + GRACE))
+            .timeout_global(Some(task.timeout + GRACE))
             .build();
         let (result, written) = gate::with_lease(task.lease, || request.send(task.body.as_ref()));
         match result {
@@ -120,11 +120,12 @@
         value.map(str::to_owned)
     };
     let not_run = header("Not-Run").is_some_and(|value| value.eq_ignore_ascii_case("true"));
-    let content = header("Content-Type").unwrap_or_else(|| "application/octet-stream".to_owned());
+    let content_type =
+        header("Content-Type").unwrap_or_else(|| "application/octet-stream".to_owned());
     let body = response.body_mut().with_config().limit(MAX_ANSWER).read_to_vec();
     match (status, body) {
         (503, _) if not_run => End::NotRun,
-        (200, Ok(body)) => End::Answer(body.into(), content),
+        (200, Ok(body)) => End::Answer(body.into(), content_type),
         (200, Err(e)) => End::Failed(format!("the answer broke off: {e}")),
         (status, _) => End::Failed(format!("status {status}")),
     }
--- a/crates/link/tests/collector.rs
+++ b/crates/link/tests/collector.rs
@@ -43,9 +43,16 @@
     let parent = Context::new();
     let context = parent.child();
     let start = time::SystemTime::now();
-    let notes = vec![("job", "west-7".to_owned())];
+    let attributes = vec![("job", "west-7".to_owned())];
     let side = span::Side::Client;
-    spans.record(span::Span { context, parent: Some(parent), name: "task", side, start, notes });
+    spans.record(span::Span {
+        context,
+        parent: Some(parent),
+        name: "task",
+        side,
+        start,
+        attributes,
+    });
     spans.flush();
 
     let requests = collector.requests.lock().unwrap();
--- a/crates/link/tests/lease.rs
+++ b/crates/link/tests/lease.rs
@@ -40,8 +40,8 @@
         address: address.to_string(),
         id: "j/0".to_owned(),
         body: vec![b'x'; BODY].into(),
-        content: "text/plain".to_owned(),
-        left: time::Duration::from_secs(5),
+        content_type: "text/plain".to_owned(),
+        timeout: time::Duration::from_secs(5),
         lease,
         span: trace::Context::new(),
     }
--- a/crates/link/tests/redial.rs
+++ b/crates/link/tests/redial.rs
@@ -26,7 +26,7 @@
         self.0.send(()).is_ok()
     }
 
-    fn knows(&self, _: &Name) -> bool {
+    fn allows_peer(&self, _: &Name) -> bool {
         true
     }
 }
