--- a/crates/apricotroute/src/client.rs
+++ b/crates/apricotroute/src/client.rs
@@ -144,7 +144,7 @@
             idempotent: job.idempotent,
             needs: job.needs.unwrap_or_default(),
             tasks: job.tasks.iter().map(payload).collect(),
-            content: name::Name::new("application/json"),
+            content_type: name::Name::new("application/json"),
             raw: false,
             trace: name::Name::new(&pending.context.to_string()),
         };
@@ -222,9 +222,9 @@
             team: team.map(name::Name::new),
             left_ms,
             idempotent,
-            needs: state::upstream::Needs::default(),
+            needs: state::upstream::Resources::default(),
             tasks: vec![request.body.clone()],
-            content: name::Name::new(content),
+            content_type: name::Name::new(content),
             raw: true,
             trace: name::Name::new(""),
         })
--- a/crates/apricotroute/src/control.rs
+++ b/crates/apricotroute/src/control.rs
@@ -427,7 +427,7 @@
             address: start.address.to_string(),
             id: task_id(&start.task),
             body: start.body,
-            content_type: start.content.to_string(),
+            content_type: start.content_type.to_string(),
             timeout,
             lease: lease_end(start.lease, now),
             span: context,
@@ -460,8 +460,8 @@
 fn finish(end: task::End) -> event::Finish {
     match end {
         task::End::Answer(body, content) => {
-            let content = name::Name::new(&content);
-            event::Finish::Answer(message::Answer { body, content })
+            let content_type = name::Name::new(&content);
+            event::Finish::Answer(message::Answer { body, content_type })
         }
         task::End::NotRun => event::Finish::Full,
         task::End::Unsent => event::Finish::Unsent,
--- a/crates/apricotroute/src/instance.rs
+++ b/crates/apricotroute/src/instance.rs
@@ -164,15 +164,15 @@
     let me = member::Instance {
         name: boot.instance.clone(),
         zone: boot.zone.clone(),
-        disk: boot.folder.is_some(),
+        has_disk: boot.folder.is_some(),
     };
     let peers = boot.peers.iter().map(|peer| member::Instance {
         name: peer.instance.clone(),
         zone: peer.zone.clone(),
-        disk: peer.disk,
+        has_disk: peer.has_disk,
     });
     let all: collections::BTreeSet<_> = peers.chain([me.clone()]).collect();
-    let disk = store.map(|store| store.incarnation);
+    let disk_incarnation = store.map(|store| store.incarnation);
     let (all, baselines, seed) = (all.into_iter().collect(), boot.baselines, rand::random());
-    coord::config::Config { me, incarnation, disk, all, baselines, seed }
+    coord::config::Config { me, incarnation, disk_incarnation, all, baselines, seed }
 }
--- a/crates/apricotroute/src/logs.rs
+++ b/crates/apricotroute/src/logs.rs
@@ -23,12 +23,12 @@
         boot::Level::Info => slog::Level::Info,
         boot::Level::Debug => slog::Level::Debug,
     };
-    let (drain, guard) = match log.form {
-        boot::Form::Json => {
+    let (drain, guard) = match log.format {
+        boot::Format::Json => {
             let json = slog_json::Json::new(to).add_default_keys().build();
             slog_async::Async::new(json.fuse()).build_with_guard()
         }
-        boot::Form::Text => {
+        boot::Format::Text => {
             let plain = slog_term::PlainSyncDecorator::new(to);
             let text = slog_term::FullFormat::new(plain).build();
             slog_async::Async::new(text.fuse()).build_with_guard()
--- a/crates/apricotroute/src/node/mod.rs
+++ b/crates/apricotroute/src/node/mod.rs
@@ -85,7 +85,7 @@
             })
             .change_context_lazy(context("start traffic of"))?;
         slog::info!(log, "node: Started."; "role" => ?settings.role, "peer" => %settings.peer,
-            "seeds" => ?settings.seeds, "first" => settings.first);
+            "seeds" => ?settings.seeds, "first" => settings.first_start);
         let (settings, log) = (settings.clone(), log.clone());
         Ok(Self { settings, runtime, control, _listeners: listeners, log })
     }
@@ -170,7 +170,7 @@
     let disk = store.as_ref().map(|store| core::Disk {
         incarnation: store.incarnation,
         recovered: store.recovered(),
-        first: node.first,
+        first: node.first_start,
         known: store.known.clone(),
     });
     let lease = node.lease_ms * LEASE_PERCENT / 100;
@@ -188,7 +188,7 @@
 ) -> error::Result<store::Store> {
     let random = u64::from(rand::random::<u32>()) + dispatch::control_log::FIRST_INCARNATION + 1;
     let incarnation =
-        if node.first && is_seed { dispatch::control_log::FIRST_INCARNATION } else { random };
+        if node.first_start && is_seed { dispatch::control_log::FIRST_INCARNATION } else { random };
     let store = store::Store::open(folder, &peer_name(node), incarnation)?;
     if store.truncated > 0 {
         slog::warn!(log, "store: Cut an unfinished write."; "bytes" => store.truncated);
--- a/crates/apricotroute/src/node/reload.rs
+++ b/crates/apricotroute/src/node/reload.rs
@@ -47,8 +47,9 @@
     match node::Node::parse(&text) {
         Ok(fresh) => {
             super::send_seeds(&fresh, control);
-            let needs_restart = node::Node { seeds: Vec::new(), first: false, ..fresh.clone() }
-                != node::Node { seeds: Vec::new(), first: false, ..node.clone() };
+            let needs_restart =
+                node::Node { seeds: Vec::new(), first_start: false, ..fresh.clone() }
+                    != node::Node { seeds: Vec::new(), first_start: false, ..node.clone() };
             slog::info!(log, "node: Settings read again."; "seeds" => ?fresh.seeds,
                 "needs_restart" => needs_restart);
         }
--- a/crates/apricotroute/src/reply.rs
+++ b/crates/apricotroute/src/reply.rs
@@ -126,7 +126,7 @@
 fn raw_answer(answers: &[Answer]) -> Response {
     let answer = answers.first();
     let body = answer.map(|answer| answer.body.clone()).unwrap_or_default();
-    let content_type = answer.map(|answer| answer.content.to_string()).unwrap_or_default();
+    let content_type = answer.map(|answer| answer.content_type.to_string()).unwrap_or_default();
     let response = Response { status: 200, content_type, headers: Vec::new(), body };
     response.with_header(STATE_HEADER, "complete")
 }
--- a/crates/apricotroute/src/store.rs
+++ b/crates/apricotroute/src/store.rs
@@ -71,7 +71,7 @@
 
     /// Number of log entries after the snapshot.
     pub fn entries(&self) -> usize {
-        self.mirror.entries()
+        self.mirror.entry_count()
     }
 
     /// Starts the store thread; it calls `done` with the last number of each stored batch.
--- a/crates/coord/src/calls.rs
+++ b/crates/coord/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to other instances that have no answer yet.
+//! Outstanding calls to other instances.
 
 use std::collections;
 
@@ -13,23 +13,23 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Forwarded {
     pub(crate) spec: Spec,
-    /// Instances that have received it so far.
+    /// Instances to which the submission has been sent so far.
     pub(crate) tried: Vec<name::Name>,
-    /// Whether one of them timed out and may be running it.
+    /// Whether one of these instances timed out and may be running the job.
     pub(crate) may_run: bool,
-    /// The verdict of the last instance that refused it because of its shutdown.
+    /// Verdict of the last instance that refused the submission because it is shutting down.
     pub(crate) refusal: Option<Verdict>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum CallKind {
-    /// A forwarded submission, with the instances tried so far.
+    /// A submission that is forwarded to its home zone.
     Forward(Box<Forwarded>),
     /// A job of this zone that runs in another zone.
     Execute,
     /// A wait for the verdict of a job from its owner.
     Await,
-    /// A request for cached answers; holds the number of neighbours that have not replied.
+    /// A request for cached answers; holds the number of zone peers that have not replied.
     Fetch(usize),
     /// A request for the state or the cancellation of a job, to another zone or to its owner.
     Query,
@@ -41,16 +41,21 @@
     pub(crate) kind: CallKind,
     pub(crate) job: id::JobId,
     pub(crate) to: name::Name,
+    /// When the call was sent, microseconds.
     pub(crate) sent_at: u64,
+    /// When the call expires, microseconds.
     pub(crate) until: u64,
+    /// When the journal first held the end of the job, microseconds.
     pub(crate) ended_at: Option<u64>,
 }
 
-/// Calls without an answer yet.
+/// Outstanding calls by number.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
     pub(crate) map: collections::BTreeMap<u64, Call>,
-    pub(crate) next: u64,
+    /// Number of the latest call.
+    pub(crate) last_number: u64,
+    /// When this instance last sent pings to the receivers of calls, microseconds.
     pub(crate) pinged_at: u64,
 }
 
@@ -58,7 +63,7 @@
     /// Creates an empty table. Call numbers start from the incarnation, so that an answer to an
     /// earlier incarnation of this instance never matches another call.
     pub(crate) fn new(incarnation: u64) -> Self {
-        Self { next: incarnation << 32, ..Self::default() }
+        Self { last_number: incarnation << 32, ..Self::default() }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -66,13 +71,13 @@
     }
 
     pub(crate) fn add(&mut self, call: Call) -> u64 {
-        self.next += 1;
-        self.map.insert(self.next, call);
-        self.next
+        self.last_number += 1;
+        self.map.insert(self.last_number, call);
+        self.last_number
     }
 
-    /// Records when the journal first held the end of a job.
-    pub(crate) fn note_end(&mut self, job: &id::JobId, now: u64) {
+    /// Records that the journal holds the end of a job, in every call about that job.
+    pub(crate) fn record_end(&mut self, job: &id::JobId, now: u64) {
         for call in self.map.values_mut().filter(|call| call.job == *job) {
             call.ended_at.get_or_insert(now);
         }
--- a/crates/coord/src/change.rs
+++ b/crates/coord/src/change.rs
@@ -3,7 +3,7 @@
 use state::tree;
 
 use crate::{
-    core::{Core, Pending},
+    core::{Core, PendingChange},
     event::{Output, Reply, Ticket},
     machine, time,
     time::Now,
@@ -18,7 +18,7 @@
         }
         let command = machine::encode(change);
         let until = now.mono + CHANGE_TIMEOUT;
-        let new = Pending { tickets: Vec::new(), command, retry: 0, until };
+        let new = PendingChange { tickets: Vec::new(), command, retry_at: 0, until };
         let pending = self.changes.entry(change.change).or_insert(new);
         pending.tickets.push(ticket);
         pending.until = until;
@@ -31,9 +31,10 @@
         for (id, pending) in &mut self.changes {
             if now.mono >= pending.until {
                 expired.push(*id);
-            } else if now.mono >= pending.retry && self.settings.propose(&pending.command, now.mono)
+            } else if now.mono >= pending.retry_at
+                && self.settings.propose(&pending.command, now.mono)
             {
-                pending.retry = now.mono + RETRY_INTERVAL;
+                pending.retry_at = now.mono + RETRY_INTERVAL;
             }
         }
         for id in expired {
--- a/crates/coord/src/config.rs
+++ b/crates/coord/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration that an instance starts with.
+//! Configuration with which an instance starts.
 
 use state::boot;
 
@@ -12,7 +12,7 @@
     /// Incarnation of the process.
     pub incarnation: u64,
     /// Incarnation of the data folder, if there is one.
-    pub disk: Option<u64>,
+    pub disk_incarnation: Option<u64>,
     /// All instances, this one included.
     pub all: Vec<Instance>,
     /// Algorithms that a benchmark replaces by baselines.
--- a/crates/coord/src/copies.rs
+++ b/crates/coord/src/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of answers at neighbours, so that a resubmission gets the answers even if the owner has
+//! Copies of answers at zone peers, so that a resubmission gets the answers even if the owner has
 //! crashed.
 
 use state::{id, name};
@@ -10,13 +10,13 @@
     time::{self, Now},
 };
 
-/// If copies are still unconfirmed after this, every other neighbour gets one too, microseconds.
+/// If copies are still unconfirmed after this, every other zone peer gets one too, microseconds.
 pub(crate) const COPY_RESEND_DELAY: u64 = 60 * time::MS;
 /// An answer waits at most this long for the confirmation of its copies, microseconds.
 pub(crate) const COPY_TIMEOUT: u64 = 1_000 * time::MS;
 
 impl Core {
-    /// Caches the answers of a job and sends them to as many neighbours as the `answer_copies` of
+    /// Caches the answers of a job and sends them to as many zone peers as the `answer_copies` of
     /// its service; returns the number of copies sent.
     pub(crate) fn copy_answers(&mut self, id: &id::JobId, answers: &[message::Answer]) -> usize {
         let Some(job) = self.jobs.get(id).filter(|job| job.journaled) else {
@@ -30,8 +30,8 @@
         chosen.len()
     }
 
-    /// Sends the answers to every other neighbour once a copy is late, perhaps because its receiver
-    /// has crashed. A confirmation from any neighbour counts.
+    /// Sends the answers to every other zone peer once a copy is late, perhaps because its receiver
+    /// has crashed. A confirmation from any zone peer counts.
     pub(crate) fn resend_copies(&mut self, id: &id::JobId) {
         let peers = self.copy_targets(id);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -50,9 +50,9 @@
         }
     }
 
-    /// The zone's other instances, in the order in which they receive copies of this job's answers.
+    /// The zone peers, in the order in which they receive copies of this job's answers.
     fn copy_targets(&self, id: &id::JobId) -> Vec<name::Name> {
-        let mut peers = self.neighbours();
+        let mut peers = self.zone_peers();
         let count = peers.len();
         if count > 0 {
             peers.rotate_left(id::name_hash(&id.to_string()) as usize % count);
--- a/crates/coord/src/core.rs
+++ b/crates/coord/src/core.rs
@@ -33,24 +33,30 @@
 
 /// A settings change that waits for its outcome.
 #[derive(Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingChange {
     pub(crate) tickets: Vec<Ticket>,
     pub(crate) command: bytes::Bytes,
-    pub(crate) retry: u64,
+    /// When to repeat the proposal, microseconds.
+    pub(crate) retry_at: u64,
+    /// When the change expires without an outcome, microseconds.
     pub(crate) until: u64,
 }
 
-/// State of one service: its queue, observed service times, retry budget, and the requests for
-/// idle slots of other instances.
+/// State of one service: its queue, observed service times, retry budget, and requests for idle
+/// slots of the zone peers.
 #[derive(Debug, Default)]
 pub(crate) struct Service {
     pub(crate) queue: queue::Queue,
     pub(crate) times: crate::health::Times,
     pub(crate) budget: retry::Budget,
+    /// When this instance last requested slots, microseconds.
     pub(crate) requested_at: u64,
+    /// Zone peer whose answer to the last request is outstanding.
     pub(crate) lender: Option<name::Name>,
     pub(crate) next_peer: usize,
+    /// When the next request may be sent, microseconds.
     pub(crate) backoff_until: u64,
+    /// Duration of the last backoff, microseconds.
     pub(crate) backoff: u64,
 }
 
@@ -61,37 +67,50 @@
     pub(crate) config: Config,
     pub(crate) settings: group::Group<machine::Settings>,
     pub(crate) journal: group::Group<machine::Journal>,
+    /// Journals of other zones in which this instance votes.
     pub(crate) witness_journals: collections::BTreeMap<name::Name, group::Group<machine::Journal>>,
     pub(crate) jobs: collections::HashMap<id::JobId, Job>,
+    /// Jobs in the order of their deadlines, microseconds.
     pub(crate) deadlines: collections::BTreeSet<(u64, id::JobId)>,
     pub(crate) services: collections::BTreeMap<name::Name, Service>,
+    /// Services whose queues are to be dispatched.
     pub(crate) dispatch_pending: collections::BTreeSet<name::Name>,
     pub(crate) fleet: fleet::Fleet,
     pub(crate) answers: cache::Answers,
+    /// Quota usage of the idempotent requests at this instance, by account.
     pub(crate) usage: collections::BTreeMap<name::Name, table::Usage>,
     pub(crate) calls: calls::Calls,
+    /// When each instance last sent a message, microseconds.
     pub(crate) last_heard: collections::HashMap<name::Name, u64>,
     pub(crate) rng: rngs::SmallRng,
-    pub(crate) attempts: u64,
+    /// Number of the latest attempt.
+    pub(crate) last_attempt: u64,
     pub(crate) counts: Counts,
     pub(crate) out: Vec<Output>,
     pub(crate) draining: bool,
-    pub(crate) changes: collections::BTreeMap<uuid::Uuid, Pending>,
+    pub(crate) changes: collections::BTreeMap<uuid::Uuid, PendingChange>,
+    /// Lease renewals to send to the zone peers: name hash and sequence number of each upstream.
     pub(crate) renewals: collections::BTreeMap<u32, u64>,
     pub(crate) renew_at: u64,
     pub(crate) prune_at: u64,
-    pub(crate) next_membership: u64,
+    pub(crate) membership_at: u64,
     pub(crate) fetch_at: u64,
     pub(crate) return_at: u64,
     pub(crate) remote_ping_at: u64,
-    pub(crate) table_requested: bool,
+    /// Whether this instance has requested the upstreams from its zone peers.
+    pub(crate) upstreams_requested: bool,
+    /// Instances that announced their shutdown.
     pub(crate) leaving: collections::BTreeSet<name::Member>,
+    /// Live members of this zone's journal, as of their last change.
     pub(crate) members: collections::BTreeSet<name::Member>,
+    /// When this instance gave up its membership, microseconds.
     pub(crate) left_at: Option<u64>,
-    pub(crate) drained: bool,
+    /// Whether the journal has removed this instance after it gave up its membership.
+    pub(crate) has_left: bool,
     /// Whether [`Output::Drained`] was sent.
     pub(crate) drain_reported: bool,
     pub(crate) ready: bool,
+    /// When this instance last held a lease, microseconds.
     pub(crate) last_leased: u64,
 }
 
@@ -119,7 +138,7 @@
             calls: calls::Calls::new(config.incarnation),
             last_heard: collections::HashMap::new(),
             rng: rngs::SmallRng::seed_from_u64(config.seed),
-            attempts: 0,
+            last_attempt: 0,
             counts: Counts::default(),
             out: Vec::new(),
             draining: false,
@@ -127,15 +146,15 @@
             renewals: collections::BTreeMap::new(),
             renew_at: 0,
             prune_at: 0,
-            next_membership: 0,
+            membership_at: 0,
             return_at: 0,
             remote_ping_at: 0,
             fetch_at: now.mono + SETTINGS_WAIT,
-            table_requested: false,
+            upstreams_requested: false,
             leaving: collections::BTreeSet::new(),
             members: collections::BTreeSet::new(),
             left_at: None,
-            drained: false,
+            has_left: false,
             drain_reported: false,
             ready: false,
             last_leased: now.mono,
@@ -202,16 +221,16 @@
 
     /// Whether this instance holds a lease and may therefore start tasks of journaled jobs.
     pub(crate) fn has_lease(&self, now: u64) -> bool {
-        self.journal.lease(now) > now && self.table().is_live(self.journal.me())
+        self.journal.lease_end(now) > now && self.table().is_live(self.journal.me())
     }
 
-    /// Time since the instance last held a lease, microseconds.
-    pub(crate) fn without_lease(&self, now: u64) -> u64 {
+    /// Time since this instance last held a lease, microseconds.
+    pub(crate) fn time_without_lease(&self, now: u64) -> u64 {
         now.saturating_sub(self.last_leased)
     }
 
-    /// The other live members of this zone's journal.
-    pub(crate) fn neighbours(&self) -> Vec<name::Name> {
+    /// The zone peers: the other live members of this zone's journal.
+    pub(crate) fn zone_peers(&self) -> Vec<name::Name> {
         let others = self.table().live().filter(|member| member.name != self.config.me.name);
         others.map(|member| member.name.clone()).collect()
     }
@@ -390,20 +409,22 @@
     fn process_journal(&mut self, out: group::Output<table::Effect>, now: Now) {
         self.out.extend(out.sends.into_iter().map(|(to, body)| Output::Send(to, body)));
         if out.left_formation {
-            self.lose_jobs();
+            self.end_journaled_jobs();
             self.ready = false;
         }
         if out.restored || out.left_formation {
-            self.on_members(now);
+            self.on_members_changed(now);
             self.reconcile_jobs(now);
         }
         for effect in out.effects {
             match effect {
-                table::Effect::Members => self.on_members(now),
+                table::Effect::Members => self.on_members_changed(now),
                 table::Effect::Admitted(job, owner) => self.on_admitted(&job, &owner, now),
-                table::Effect::Known(job, owner) => self.on_duplicate_admission(&job, &owner, now),
-                table::Effect::Limited(job, owner, retry) => {
-                    self.on_limited(&job, &owner, retry);
+                table::Effect::Duplicate(job, owner) => {
+                    self.on_duplicate_admission(&job, &owner, now);
+                }
+                table::Effect::QuotaExceeded(job, owner, retry) => {
+                    self.on_quota_exceeded(&job, &owner, retry);
                 }
                 table::Effect::Ended(job, outcome) => self.on_ended(&job, outcome, now),
                 // The owner repeats the proposal once it is a live member.
@@ -412,7 +433,7 @@
         }
     }
 
-    fn on_members(&mut self, now: Now) {
+    fn on_members_changed(&mut self, now: Now) {
         let me = self.journal.me().clone();
         let live: Vec<_> = self.table().live().cloned().collect();
         let rank = live.iter().position(|member| *member == me);
@@ -421,16 +442,16 @@
         // incarnation of that instance is already live.
         let unchanged: collections::BTreeSet<_> =
             live.iter().filter(|m| self.members.contains(*m)).map(|m| m.name.clone()).collect();
-        self.fleet.keep_loans(|name| unchanged.contains(name));
+        self.fleet.retain_loans(|name| unchanged.contains(name));
         self.members = live.into_iter().collect();
-        if rank.is_some() && !self.table_requested {
-            self.table_requested = true;
-            for to in self.neighbours() {
+        if rank.is_some() && !self.upstreams_requested {
+            self.upstreams_requested = true;
+            for to in self.zone_peers() {
                 self.send(&to, Body::Table(message::Table::Ask));
             }
         }
         if self.left_at.is_some() && rank.is_none() {
-            self.drained = true;
+            self.has_left = true;
         }
         self.dispatch_pending.extend(self.services.keys().cloned());
         if self.has_lease(now.mono) {
@@ -445,10 +466,10 @@
         if !self.draining {
             return;
         }
-        // Without contact to the journal, the outcome of a job cannot be determined any more. A job
-        // without waiters does not delay the exit then.
-        let lost = self.without_lease(now.mono) > CONTACT_TIMEOUT;
-        let busy = self.jobs.values().any(|job| !lost || !job.waiters.is_empty());
+        // Without contact with the journal, the outcome of a job can no longer be determined. A job
+        // without waiters then does not delay the exit.
+        let lost_contact = self.time_without_lease(now.mono) > CONTACT_TIMEOUT;
+        let busy = self.jobs.values().any(|job| !lost_contact || !job.waiters.is_empty());
         if busy || !self.calls.is_empty() {
             return;
         }
@@ -456,13 +477,13 @@
             None => {
                 self.left_at = Some(now.mono);
                 let me = self.journal.me().clone();
-                for to in self.neighbours() {
+                for to in self.zone_peers() {
                     let leaving = message::Job::Leaving { incarnation: me.incarnation };
                     self.send(&to, Body::Job(leaving));
                 }
                 self.propose(&table::Command::Expel(me), now);
             }
-            Some(since) if self.drained || now.mono > since + EXPEL_WAIT => {
+            Some(since) if self.has_left || now.mono > since + EXPEL_WAIT => {
                 self.journal.transfer_leadership(now.mono);
                 self.settings.transfer_leadership(now.mono);
                 if !self.drain_reported {
--- a/crates/coord/src/duty.rs
+++ b/crates/coord/src/duty.rs
@@ -13,10 +13,10 @@
     /// Admits instances and expels silent ones, for each journal that this instance leads.
     pub(crate) fn manage_membership(&mut self, now: Now) {
         const INTERVAL: u64 = 100 * time::MS;
-        if now.mono < self.next_membership {
+        if now.mono < self.membership_at {
             return;
         }
-        self.next_membership = now.mono + INTERVAL;
+        self.membership_at = now.mono + INTERVAL;
         let home = self.config.me.zone.clone();
         let commands = self.membership_commands(&self.journal, &home, now.mono);
         for command in commands {
--- a/crates/coord/src/election.rs
+++ b/crates/coord/src/election.rs
@@ -20,8 +20,9 @@
         pre: bool,
         now: u64,
     ) {
-        // A member in contact with a leader does not help to replace that leader. Only a candidate
-        // to which a leader transfers its leadership requests votes without a pre-vote.
+        // A member in contact with a leader refuses pre-votes, and a leader also refuses votes.
+        // Only a candidate to which a leader transfers its leadership requests votes without a
+        // pre-vote.
         let keeps_leader = self.has_leader(now) && (pre || self.is_leader());
         if keeps_leader || term < self.term {
             return self.send_voted(from, self.term, false, pre);
@@ -151,7 +152,7 @@
     }
 
     pub(crate) fn save_hard_state(&mut self) {
-        self.out.saves.push(Save::Hard(self.term, self.vote.clone()));
+        self.out.saves.push(Save::HardState(self.term, self.vote.clone()));
     }
 
     pub(crate) fn reset_election_timer(&mut self, now: u64) {
--- a/crates/coord/src/event.rs
+++ b/crates/coord/src/event.rs
@@ -53,7 +53,7 @@
     /// Payload of the task.
     pub body: bytes::Bytes,
     /// Content type of the payload.
-    pub content: name::Name,
+    pub content_type: name::Name,
     /// Deadline for the answer, microseconds of the monotonic clock.
     pub deadline: u64,
     /// End of the lease, microseconds of the monotonic clock. The task must not be started later.
--- a/crates/coord/src/fleet.rs
+++ b/crates/coord/src/fleet.rs
@@ -6,7 +6,7 @@
 use rand::{SeedableRng as _, rngs};
 use state::{
     boot, name,
-    upstream::{Leased, Needs, Upstream, Upstreams},
+    upstream::{Leased, Resources, Upstream, Upstreams},
 };
 
 use crate::{health, place, share, time};
@@ -25,7 +25,7 @@
 
 /// Slot counts of a service at this instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct SlotCounts {
     /// Slots that this instance may use.
     pub allowed: u32,
     /// Slots that this instance may use and that are free.
@@ -37,7 +37,7 @@
 /// The upstreams, with their load, their health and the loans of their slots.
 #[derive(Debug)]
 pub struct Fleet {
-    table: Upstreams,
+    upstreams: Upstreams,
     services: collections::BTreeMap<name::Name, Vec<name::Name>>,
     loads: collections::HashMap<name::Name, Load>,
     loans: share::Loans,
@@ -52,7 +52,7 @@
     /// Creates an empty fleet.
     pub fn new(baselines: boot::Baselines, seed: u64) -> Self {
         Self {
-            table: Upstreams::new(),
+            upstreams: Upstreams::new(),
             services: collections::BTreeMap::new(),
             loads: collections::HashMap::new(),
             loans: share::Loans::new(),
@@ -64,9 +64,9 @@
         }
     }
 
-    /// The table of upstreams.
-    pub fn table(&self) -> &Upstreams {
-        &self.table
+    /// The table of known upstreams.
+    pub fn upstreams(&self) -> &Upstreams {
+        &self.upstreams
     }
 
     /// The slots lent to and borrowed from other instances.
@@ -91,9 +91,10 @@
 
     /// Stores an announcement; returns whether anything but the lease changed.
     pub fn put(&mut self, info: Upstream, until: u64) -> bool {
-        let old_service = self.table.get(info.name.as_str()).map(|held| held.info.service.clone());
+        let old_service =
+            self.upstreams.get(info.name.as_str()).map(|leased| leased.info.service.clone());
         let (name, service) = (info.name.clone(), info.service.clone());
-        let changed = self.table.put(info, until);
+        let changed = self.upstreams.put(info, until);
         if old_service.as_ref() != Some(&service) {
             if let Some(names) = old_service.and_then(|old| self.services.get_mut(&old)) {
                 names.retain(|other| *other != name);
@@ -108,9 +109,9 @@
     /// such upstream is known.
     pub fn renew(&mut self, name_hash: u32, sequence: u64, until: u64) -> bool {
         let found =
-            self.table.iter().find(|l| state::id::name_hash(l.info.name.as_str()) == name_hash);
+            self.upstreams.iter().find(|l| state::id::name_hash(l.info.name.as_str()) == name_hash);
         let name = found.map(|leased| leased.info.name.clone());
-        name.is_some_and(|name| self.table.renew(name.as_str(), sequence, until))
+        name.is_some_and(|name| self.upstreams.renew(name.as_str(), sequence, until))
     }
 
     /// Sets the rank of this instance among the live members of its zone, and their count; `None`
@@ -120,14 +121,14 @@
     }
 
     /// Ends the loans with instances for which `stays` returns false.
-    pub fn keep_loans(&mut self, stays: impl Fn(&name::Name) -> bool) {
+    pub fn retain_loans(&mut self, stays: impl Fn(&name::Name) -> bool) {
         self.loans.retain_members(stays);
     }
 
     /// Removes upstreams whose lease expired long ago, and reclaims expired loans.
     pub fn prune(&mut self, now: u64) {
         self.loans.reclaim(now);
-        for name in self.table.prune(now.saturating_sub(RETENTION)) {
+        for name in self.upstreams.prune(now.saturating_sub(RETENTION)) {
             for names in self.services.values_mut() {
                 names.retain(|other| *other != name);
             }
@@ -140,7 +141,7 @@
 
     /// Whether any upstream of the service is known, has the resources for `needs`, and is open at
     /// `now`.
-    pub fn availability(&self, service: &name::Name, needs: &Needs, now: u64) -> Availability {
+    pub fn availability(&self, service: &name::Name, needs: &Resources, now: u64) -> Availability {
         let mut best = Availability::NoUpstream;
         for leased in self.upstreams_of(service) {
             let fits = leased.info.capacity.is_none_or(|capacity| needs.fits(&capacity));
@@ -155,18 +156,18 @@
     }
 
     /// Counts the slots of a service.
-    pub fn room(&self, service: &name::Name, now: u64) -> Room {
-        let mut room = Room::default();
+    pub fn slot_counts(&self, service: &name::Name, now: u64) -> SlotCounts {
+        let mut counts = SlotCounts::default();
         for leased in self.upstreams_of(service).filter(|leased| leased.is_open(now)) {
             let allowed = self.allowed(leased, now);
             let load = self.loads.get(&leased.info.name);
-            room.total += leased.info.slots;
+            counts.total += leased.info.slots;
             if load.is_some_and(|load| !load.health.is_ejected(now)) {
-                room.allowed += allowed;
-                room.free += allowed.saturating_sub(load.map_or(0, |load| load.outstanding));
+                counts.allowed += allowed;
+                counts.free += allowed.saturating_sub(load.map_or(0, |load| load.outstanding));
             }
         }
-        room
+        counts
     }
 
     /// Picks an upstream for a task; `None` if no upstream has a free slot that this instance may
@@ -174,7 +175,7 @@
     pub fn pick(
         &mut self,
         service: &name::Name,
-        needs: &Needs,
+        needs: &Resources,
         avoid: Option<&name::Name>,
         now: u64,
     ) -> Option<name::Name> {
@@ -182,7 +183,7 @@
         let mut indices = smallvec::SmallVec::<[usize; 64]>::new();
         let mut candidates = smallvec::SmallVec::<[place::Candidate; 64]>::new();
         for (at, name) in names.iter().enumerate() {
-            let leased = self.table.get(name.as_str()).filter(|leased| leased.is_open(now));
+            let leased = self.upstreams.get(name.as_str()).filter(|leased| leased.is_open(now));
             let Some(leased) = leased else { continue };
             let fits = leased.info.capacity.is_none_or(|capacity| needs.fits(&capacity));
             let Some(load) = self.loads.get(&leased.info.name).filter(|_| fits) else {
@@ -211,7 +212,7 @@
     /// Records the start of a task at an upstream; returns the address of the upstream.
     pub fn start(&mut self, upstream: &name::Name) -> Option<name::Name> {
         self.loads.entry(upstream.clone()).or_default().outstanding += 1;
-        self.table.get(upstream.as_str()).map(|leased| leased.info.address.clone())
+        self.upstreams.get(upstream.as_str()).map(|leased| leased.info.address.clone())
     }
 
     /// Records the end of a task at an upstream.
@@ -221,11 +222,11 @@
         };
         load.outstanding = load.outstanding.saturating_sub(1);
         match end {
-            End::Answered(took) => load.health.succeeded(took),
-            End::Full => load.health.full(now),
+            End::Answered(took) => load.health.record_success(took),
+            End::Full => load.health.record_full(now),
             End::Neutral => {}
             End::Failed => {
-                let due = load.health.failed();
+                let due = load.health.record_failure();
                 if due && self.baselines.eject && self.may_eject(upstream, now) {
                     self.ejections += 1;
                     if let Some(load) = self.loads.get_mut(upstream) {
@@ -236,8 +237,7 @@
         }
     }
 
-    /// Lends up to `count` idle slots of a service to a peer; keeps part of them in
-    /// reserve.
+    /// Lends up to `count` idle slots of a service to a zone peer; keeps part of them in reserve.
     pub fn lend(
         &mut self,
         to: &name::Name,
@@ -266,31 +266,31 @@
         slots
     }
 
-    /// Number of slots of a service that are borrowed from a peer.
+    /// Number of slots of a service that are borrowed from a zone peer.
     pub fn borrowed_from(&self, from: &name::Name, service: &name::Name) -> u32 {
         self.loans.borrowed_from(from, |upstream| self.serves(upstream, service))
     }
 
-    /// Reconciles the loans with the number of slots that a peer reports as borrowed. Grants beyond
-    /// that number never reached the peer, and their slots are taken back.
-    pub fn settle_loans(&mut self, to: &name::Name, service: &name::Name, held: u32) {
+    /// Reconciles the loans with the number of slots that a zone peer reports as borrowed. Grants
+    /// beyond that number never reached the zone peer, and their slots are reclaimed.
+    pub fn reconcile_loans(&mut self, to: &name::Name, service: &name::Name, borrowed: u32) {
         let mut loans = std::mem::take(&mut self.loans);
-        loans.settle(to, held, |upstream| self.serves(upstream, service));
+        loans.reconcile(to, borrowed, |upstream| self.serves(upstream, service));
         self.loans = loans;
     }
 
     fn serves(&self, upstream: &name::Name, service: &name::Name) -> bool {
-        self.table.get(upstream.as_str()).is_some_and(|leased| leased.info.service == *service)
+        self.upstreams.get(upstream.as_str()).is_some_and(|leased| leased.info.service == *service)
     }
 
-    /// Records slots borrowed from a peer; `requested_at` is the time of the request.
+    /// Records slots borrowed from a zone peer; `requested_at` is the time of the request.
     pub fn borrow(&mut self, from: &name::Name, slots: &[(name::Name, u32)], requested_at: u64) {
         for (upstream, count) in slots {
             self.loans.borrow(from, upstream, *count, requested_at);
         }
     }
 
-    /// Takes back the slots that a peer returns.
+    /// Records that a zone peer has returned slots.
     pub fn take_back(&mut self, by: &name::Name, slots: &[(name::Name, u32)]) {
         for (upstream, count) in slots {
             self.loans.take_back(by, upstream, *count);
@@ -306,7 +306,7 @@
                 (self.own_slots(leased) + borrowed).saturating_sub(self.outstanding(name.as_str()));
             (name.clone(), free.min(borrowed))
         };
-        let idle: collections::HashMap<_, _> = self.table.iter().map(idle).collect();
+        let idle: collections::HashMap<_, _> = self.upstreams.iter().map(idle).collect();
         // Slots borrowed on an upstream that is no longer in the table are unusable here, so all
         // of them are returned.
         self.loans.return_idle(|name| idle.get(name).copied().unwrap_or(u32::MAX))
@@ -314,7 +314,7 @@
 
     fn upstreams_of(&self, service: &name::Name) -> impl Iterator<Item = &Leased> {
         let names = self.services.get(service).into_iter().flatten();
-        names.filter_map(|name| self.table.get(name.as_str()))
+        names.filter_map(|name| self.upstreams.get(name.as_str()))
     }
 
     fn share_of(&self, leased: &Leased) -> u32 {
@@ -339,7 +339,7 @@
 
     /// Whether a further ejection leaves at most half of the service's open upstreams ejected.
     fn may_eject(&self, upstream: &name::Name, now: u64) -> bool {
-        let Some(service) = self.table.get(upstream.as_str()).map(|l| &l.info.service) else {
+        let Some(service) = self.upstreams.get(upstream.as_str()).map(|l| &l.info.service) else {
             return false;
         };
         let open = self.upstreams_of(service).filter(|leased| leased.is_open(now));
@@ -374,6 +374,6 @@
     Full,
     /// The task failed, or the upstream could not be reached.
     Failed,
-    /// The end gives no information on the health of the upstream.
+    /// The result does not indicate whether the upstream is healthy.
     Neutral,
 }
--- a/crates/coord/src/form.rs
+++ b/crates/coord/src/form.rs
@@ -120,7 +120,7 @@
         Action::Ask(formation, others)
     }
 
-    /// Whether this instance is the one to form the group now: it has a seat, a majority of the
+    /// Whether this instance may form the group now: it has a seat, a majority of the
     /// seats is present, no instance reports a formation, and no earlier seat is present. If some
     /// seats are missing, the majority must also have been present for `MAJORITY_WAIT`.
     fn may_form(&mut self, now: u64) -> bool {
--- a/crates/coord/src/forward.rs
+++ b/crates/coord/src/forward.rs
@@ -1,4 +1,5 @@
-//! Calls to other instances: forwarded submissions, waits for another owner, cached answers.
+//! Calls to other instances: forwarded submissions, waits for the owner of a job, and
+//! requests for cached answers.
 
 use std::collections;
 
@@ -14,10 +15,10 @@
     waiter::Waiter,
 };
 
-/// A peer in another zone that sends nothing for this long during a call counts as unreachable,
-/// microseconds.
+/// An instance of another zone that sends no message for this long during a call counts as
+/// unreachable, microseconds.
 const PEER_TIMEOUT: u64 = 1_500 * time::MS;
-/// A peer that sends nothing for this long during a call gets a ping, microseconds.
+/// An instance that sends no message for this long during a call gets a ping, microseconds.
 const PING_INTERVAL: u64 = 400 * time::MS;
 /// After the journal holds the end of a job, the call to its owner waits this much longer for the
 /// owner's verdict, microseconds.
@@ -25,14 +26,14 @@
 /// Timeout of a request for cached answers, microseconds.
 const FETCH_TIMEOUT: u64 = 1_000 * time::MS;
 /// A call to an owner in this zone expires after this long without a lease, microseconds.
-const LEASE_TIMEOUT: u64 = 2_500 * time::MS;
+const AWAIT_LEASE_TIMEOUT: u64 = 2_500 * time::MS;
 /// A call may outlast the deadline of its job by this much, microseconds.
 const CALL_GRACE: u64 = 1_000 * time::MS;
 
 impl Core {
     pub(crate) fn reply(&mut self, waiter: Waiter, verdict: Verdict) {
         match waiter {
-            Waiter::Ticket(ticket) => {
+            Waiter::Submission(ticket) => {
                 match &verdict {
                     Verdict::Complete(_) => self.counts.completed += 1,
                     Verdict::Failed { .. } => self.counts.failed += 1,
@@ -113,7 +114,7 @@
             return;
         }
         self.remote_ping_at = now.mono + INTERVAL;
-        if !self.tree().any_cross_zone() {
+        if !self.tree().allows_cross_zone() {
             return;
         }
         let turn = (now.mono / INTERVAL) as usize;
@@ -171,11 +172,11 @@
         }
     }
 
-    /// Requests the cached answers of a complete job from the neighbours.
+    /// Requests the cached answers of a complete job from the zone peers.
     pub(crate) fn fetch(&mut self, waiter: Waiter, job: &id::JobId, now: Now) {
-        let peers = self.neighbours();
+        let peers = self.zone_peers();
         if peers.is_empty() || matches!(waiter, Waiter::Peer(..)) {
-            let why = "the job is complete, but its answers are no longer held";
+            let why = "the job is complete, but its answers are no longer cached";
             return self.reply(waiter, Verdict::unknown(why));
         }
         let (kind, until) = (CallKind::Fetch(peers.len()), now.mono + FETCH_TIMEOUT);
@@ -291,10 +292,10 @@
                 self.show(Waiter::Peer(from.clone(), call), &job, wait, now);
             }
             message::Job::Fetch { call, job } => {
-                // The sender knows that the job is complete; this instance may apply that journal
-                // entry a little later, so it looks only at its cache.
-                let kept = self.answers.get(&job).cloned().map(Verdict::Complete);
-                let verdict = kept
+                // The sender has applied the journal entry that ends the job. This instance may
+                // apply that entry a little later, so it reads only its cache.
+                let cached = self.answers.get(&job).cloned().map(Verdict::Complete);
+                let verdict = cached
                     .unwrap_or_else(|| Verdict::unknown("this instance has no answers of the job"));
                 self.reply(Waiter::Peer(from.clone(), call), verdict);
             }
@@ -339,9 +340,10 @@
         }
         let verdict = match (call.kind, verdict) {
             (CallKind::Fetch(_), _) if !complete => {
-                Verdict::unknown("the job is complete, but its answers are no longer held")
+                Verdict::unknown("the job is complete, but its answers are no longer cached")
             }
-            // The owner no longer works on the job: the journal holds its end, or will hold it.
+            // The owner no longer works on the job: the journal holds the end of the job, or will
+            // hold it.
             (CallKind::Await, Verdict::Running) => {
                 return self.attach(call.waiter, &call.job, None, call.until, now);
             }
@@ -421,7 +423,7 @@
             CallKind::Fetch(_) => late,
             CallKind::Await => {
                 let ended = call.ended_at.is_some_and(|at| now.mono > at + OWNER_GRACE);
-                late || ended || self.without_lease(now.mono) > LEASE_TIMEOUT
+                late || ended || self.time_without_lease(now.mono) > AWAIT_LEASE_TIMEOUT
             }
         }
     }
--- a/crates/coord/src/group.rs
+++ b/crates/coord/src/group.rs
@@ -22,7 +22,7 @@
 /// How long a learner may be silent before the leader drops it, in microseconds.
 pub(crate) const LEARNER_TIMEOUT: u64 = 10_000 * time::MS;
 /// Interval between two probes of a member that has no leader, in microseconds.
-pub(crate) const PROBE_INTERVAL: u64 = 300 * time::MS;
+pub(crate) const LEADER_PROBE_INTERVAL: u64 = 300 * time::MS;
 
 /// A replicated state machine.
 pub trait Machine {
@@ -38,8 +38,8 @@
     /// Replaces the whole state.
     fn restore(&mut self, state: &[u8]);
 
-    /// Handles that the member has left its formation: what the formation agreed on is no longer
-    /// valid.
+    /// Resets the state after the member has left its formation: the entries that the formation
+    /// committed are no longer valid.
     fn reset(&mut self);
 }
 
@@ -78,7 +78,7 @@
     pub effects: Vec<E>,
     /// Whether a snapshot replaced the whole state.
     pub restored: bool,
-    /// Whether the member left a formation and discarded everything it knew of that formation.
+    /// Whether the member left a formation and discarded the state of that formation.
     pub left_formation: bool,
 }
 
@@ -125,7 +125,7 @@
     /// Last known incarnation and formation of each other instance.
     pub(crate) peer_states: collections::BTreeMap<name::Name, (u64, Option<Formation>)>,
     pub(crate) next_probe: u64,
-    /// Number of the last change handed out to be stored.
+    /// Number of the last change passed to the caller to be stored.
     pub(crate) last_issued: u64,
     /// Number of the last change known to be on disk.
     pub(crate) last_saved: u64,
@@ -217,14 +217,14 @@
         self.raft().is_some_and(Raft::is_leader)
     }
 
-    /// Whether this member leads or has heard from the leader within an election timeout.
+    /// Whether this member leads or received a message from the leader within an election timeout.
     pub fn has_leader(&self, now: u64) -> bool {
         self.raft().is_some_and(|raft| raft.has_leader(now))
     }
 
     /// End of this member's lease, on its own clock; 0 if it has none.
-    pub fn lease(&self, now: u64) -> u64 {
-        self.raft().map_or(0, |raft| raft.lease(now))
+    pub fn lease_end(&self, now: u64) -> u64 {
+        self.raft().map_or(0, |raft| raft.lease_end(now))
     }
 
     /// Number of messages refused so far because of a wrong formation or incarnation.
--- a/crates/coord/src/groups.rs
+++ b/crates/coord/src/groups.rs
@@ -17,15 +17,15 @@
 pub(crate) fn settings(config: &Config) -> group::Group<machine::Settings> {
     let seats = member::settings_seats(&config.all);
     let me = &config.me.name;
-    let votes = seats.contains(me) && config.disk.is_some();
-    let incarnation = if votes { config.disk } else { None };
+    let is_voter = seats.contains(me) && config.disk_incarnation.is_some();
+    let incarnation = if is_voter { config.disk_incarnation } else { None };
     let group = group::Config {
         group: message::Group::Settings,
         me: name::Member::new(me, incarnation.unwrap_or(config.incarnation)),
         others: others(config, &seats),
         seats,
         timing: SETTINGS_TIMING,
-        durable: votes,
+        durable: is_voter,
         static_voters: false,
         compact_every: group::COMPACT_EVERY,
         kept_entries: group::KEPT_ENTRIES,
@@ -59,7 +59,7 @@
 /// Other zones in whose journal this instance is a voter.
 pub(crate) fn witnessed(config: &Config) -> Vec<name::Name> {
     let zones = member::zones(&config.all).into_iter().filter(|zone| *zone != config.me.zone);
-    let votes =
+    let is_voter =
         |zone: &name::Name| member::journal_seats(&config.all, zone).contains(&config.me.name);
-    zones.filter(votes).collect()
+    zones.filter(is_voter).collect()
 }
--- a/crates/coord/src/health.rs
+++ b/crates/coord/src/health.rs
@@ -9,7 +9,8 @@
 const FIRST_EJECTION: u64 = 2_000 * time::MS;
 /// Upper bound on the duration of an ejection, microseconds.
 const MAX_EJECTION: u64 = 60_000 * time::MS;
-/// Time without new tasks after an upstream refused one for lack of capacity, microseconds.
+/// Time for which an upstream gets no new tasks after it refused one for lack of capacity,
+/// microseconds.
 const FULL_PAUSE: u64 = 20 * time::MS;
 /// Weight of the latest service time in the exponential moving average.
 const MEAN_WEIGHT: f64 = 0.2;
@@ -29,7 +30,7 @@
 
 impl Health {
     /// Records an answer after `took` microseconds.
-    pub fn succeeded(&mut self, took: u64) {
+    pub fn record_success(&mut self, took: u64) {
         let took = took as f64;
         self.mean =
             if self.mean == 0.0 { took } else { self.mean + MEAN_WEIGHT * (took - self.mean) };
@@ -45,7 +46,7 @@
 
     /// Records a failure; returns whether the upstream is due for ejection: after
     /// [`EJECT_AFTER`] failures in a row, or after any failure during the slow start.
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.failures += 1;
         self.failures >= EJECT_AFTER || self.start_limit > 0
     }
@@ -60,7 +61,7 @@
     }
 
     /// Records that the upstream refused a task for lack of capacity.
-    pub fn full(&mut self, now: u64) {
+    pub fn record_full(&mut self, now: u64) {
         self.paused_until = now + FULL_PAUSE;
     }
 
--- a/crates/coord/src/job.rs
+++ b/crates/coord/src/job.rs
@@ -15,6 +15,7 @@
     pub(crate) number: u64,
     pub(crate) upstream: name::Name,
     pub(crate) address: name::Name,
+    /// When the attempt started, microseconds.
     pub(crate) started_at: u64,
 }
 
@@ -33,11 +34,11 @@
     pub(crate) verdict: Verdict,
     /// Whether the journal holds the end, or the job does not use the journal.
     pub(crate) committed: bool,
-    /// Copies of the answers that peers have not confirmed yet.
+    /// Number of copies of the answers that zone peers have not confirmed yet.
     pub(crate) unconfirmed: usize,
-    /// Whether this instance has sent a copy to every neighbour because confirmations are late.
+    /// Whether this instance has sent a copy to every zone peer because confirmations are late.
     pub(crate) sent_all: bool,
-    /// When the answer goes out without the missing confirmations, microseconds.
+    /// When the verdict is sent without the missing confirmations, microseconds.
     pub(crate) copy_deadline: u64,
 }
 
@@ -60,12 +61,12 @@
     pub(crate) deadline: u64,
     pub(crate) phase: Phase,
     pub(crate) tasks: Vec<TaskState>,
-    /// Tasks without an answer.
+    /// Number of tasks without an answer.
     pub(crate) unanswered: usize,
-    /// Attempts that have, or may have, started a task.
+    /// Number of attempts that have, or may have, started a task.
     pub(crate) started: usize,
     pub(crate) waiters: smallvec::SmallVec<[Waiter; 2]>,
-    /// Whether the zone's journal records it; idempotent requests and jobs that run here for
+    /// Whether the zone's journal records the job; idempotent requests and jobs that run here for
     /// another zone do not use the journal.
     pub(crate) journaled: bool,
     /// Whether a failed task may run again; true only for idempotent requests.
@@ -75,9 +76,9 @@
     pub(crate) claim: Option<table::Claim>,
     /// When to repeat the proposal to the journal, microseconds.
     pub(crate) retry_at: u64,
-    /// When it was submitted to this instance, microseconds.
+    /// When the job was submitted to this instance, microseconds.
     pub(crate) submitted_at: u64,
-    /// Service time of its longest task, microseconds.
+    /// Service time of the longest task of the job, microseconds.
     pub(crate) longest_task: u64,
     pub(crate) policy: state::tree::Policy,
 }
--- a/crates/coord/src/jobs.rs
+++ b/crates/coord/src/jobs.rs
@@ -19,12 +19,12 @@
 };
 
 /// A submission waits at most this long for a lease, microseconds; an election takes less time.
-const LEASE_TIMEOUT: u64 = 2_500 * time::MS;
+const ADMISSION_LEASE_TIMEOUT: u64 = 2_500 * time::MS;
 
 impl Core {
     pub(crate) fn on_submit(&mut self, ticket: Ticket, spec: Spec, now: Now) {
         self.counts.submitted += 1;
-        self.submit(Waiter::Ticket(ticket), spec, now);
+        self.submit(Waiter::Submission(ticket), spec, now);
     }
 
     pub(crate) fn submit(&mut self, waiter: Waiter, spec: Spec, now: Now) {
@@ -155,7 +155,7 @@
     }
 
     pub(crate) fn admit(&mut self, id: &id::JobId, now: Now) {
-        if self.without_lease(now.mono) > LEASE_TIMEOUT {
+        if self.time_without_lease(now.mono) > ADMISSION_LEASE_TIMEOUT {
             return self
                 .remove_and_reply(id, &Verdict::unknown("the zone's journal is out of reach"));
         }
@@ -169,7 +169,7 @@
         self.propose(&command, now);
     }
 
-    /// Removes a job and sends the verdict to everything that waits for it.
+    /// Removes a job and sends the verdict to all its waiters.
     pub(crate) fn remove_and_reply(&mut self, id: &id::JobId, verdict: &Verdict) {
         if let Some(job) = self.remove(id) {
             for waiter in job.waiters {
@@ -221,7 +221,7 @@
         }
     }
 
-    pub(crate) fn on_limited(&mut self, id: &id::JobId, owner: &name::Member, retry: u64) {
+    pub(crate) fn on_quota_exceeded(&mut self, id: &id::JobId, owner: &name::Member, retry: u64) {
         let admitting = self.is_admitting(id);
         if owner == self.journal.me() && admitting {
             let verdict = Verdict::refuse(Refusal::Quota, "the team is at its quota", retry);
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Another instance owns the job: redirects all its waiters to the owner's answer.
+    /// Redirects all waiters of a job that another instance owns to the verdict of the owner.
     fn redirect_to_owner(&mut self, id: &id::JobId, now: Now) {
         let Some(job) = self.remove(id) else { return };
         for waiter in job.waiters {
@@ -335,7 +335,7 @@
         let committed = !job.journaled;
         job.retry_at = now.mono + if copies > 0 { COPY_RESEND_DELAY } else { REPROPOSE_INTERVAL };
         let waiters = match outcome {
-            // The answers go out once the journal holds the end of the job.
+            // The answers are sent once the journal holds the end of the job.
             table::Outcome::Complete => smallvec::SmallVec::new(),
             table::Outcome::Failed | table::Outcome::NotRun => std::mem::take(&mut job.waiters),
         };
@@ -363,7 +363,7 @@
         self.propose(&table::Command::End { job: id.clone(), owner, outcome }, now);
     }
 
-    /// Removes waiting tasks from the queue and tells upstreams to stop running ones.
+    /// Removes waiting tasks from the queue and asks upstreams to stop the running ones.
     fn stop_tasks(&mut self, id: &id::JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -408,7 +408,7 @@
     }
 
     pub(crate) fn on_ended(&mut self, id: &id::JobId, outcome: table::Outcome, now: Now) {
-        self.calls.note_end(id, now.mono);
+        self.calls.record_end(id, now.mono);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -419,7 +419,8 @@
                 ending.committed = true;
                 self.conclude(id, now);
             }
-            // Other members ended the job because they took this instance for crashed.
+            // The journal ended the job because the leader considered this instance crashed and
+            // expelled it.
             Phase::Running | Phase::Ending(_) => {
                 self.stop_tasks(id);
                 self.remove_and_reply(
@@ -430,7 +431,7 @@
         }
     }
 
-    /// Brings every job in line with the job table after the whole table was replaced.
+    /// Reconciles every job with the job table after the whole table was replaced.
     pub(crate) fn reconcile_jobs(&mut self, now: Now) {
         let ids: Vec<_> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -447,7 +448,7 @@
 
     /// Ends all journaled jobs after the loss of the journal: without it, no instance can ever
     /// prove whether they have run.
-    pub(crate) fn lose_jobs(&mut self) {
+    pub(crate) fn end_journaled_jobs(&mut self) {
         let ids: Vec<_> =
             self.jobs.iter().filter(|(_, job)| job.journaled).map(|(id, _)| id.clone()).collect();
         for id in ids {
--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -25,12 +25,12 @@
 //! use state::{JobId, Name, boot, tree, upstream};
 //!
 //! let zone = Name::new("west");
-//! let me = member::Instance { name: Name::new("west-1"), zone: zone.clone(), disk: true };
+//! let me = member::Instance { name: Name::new("west-1"), zone: zone.clone(), has_disk: true };
 //! let config = config::Config {
 //!     all: vec![me.clone()],
 //!     me,
 //!     incarnation: 1,
-//!     disk: Some(1),
+//!     disk_incarnation: Some(1),
 //!     baselines: boot::Baselines::default(),
 //!     seed: 7,
 //! };
@@ -82,9 +82,9 @@
 //!     team: None,
 //!     left_ms: 1_000,
 //!     idempotent: false,
-//!     needs: upstream::Needs::default(),
+//!     needs: upstream::Resources::default(),
 //!     tasks: vec!["7".into()],
-//!     content: Name::new("application/json"),
+//!     content_type: Name::new("application/json"),
 //!     raw: false,
 //!     trace: Name::new(""),
 //! };
@@ -96,7 +96,7 @@
 //! let start = start.expect("the only slot is free");
 //!
 //! // The program has called the upstream and received its answer.
-//! let answer = message::Answer { body: "49".into(), content: start.content.clone() };
+//! let answer = message::Answer { body: "49".into(), content_type: start.content_type.clone() };
 //! let done = event::Done {
 //!     task: start.task,
 //!     attempt: start.attempt,
--- a/crates/coord/src/limit.rs
+++ b/crates/coord/src/limit.rs
@@ -10,9 +10,11 @@
     time::{self, Now},
 };
 
-/// The estimate for the last task of a job is this quantile of the observed service times.
+/// Quantile of the observed service times that estimates the service time of the last task of a
+/// job.
 const LAST_TASK_QUANTILE: f64 = 0.9;
-/// The estimated wait is the one that follows from the mean, plus that divided by this.
+/// Divisor of the safety margin of the estimated wait: the wait that follows from the mean service
+/// time is increased by itself divided by this.
 const WAIT_MARGIN_DIVISOR: u64 = 8;
 /// Minimum retry delay that a refused client gets, milliseconds.
 const MIN_RETRY_MS: u64 = 50;
@@ -118,20 +120,21 @@
         policy: &tree::Policy,
         now: Now,
     ) -> Result<(), Verdict> {
-        let room = self.fleet.room(&spec.service, now.mono);
+        let counts = self.fleet.slot_counts(&spec.service, now.mono);
         let left = deadline_ms(spec, policy) * time::MS;
-        if room.total == 0 {
+        if counts.total == 0 {
             return Ok(());
         }
         let default = Service::default();
         let service = self.services.get(&spec.service).unwrap_or(&default);
         let count = spec.tasks.len() as u64;
         let queued = service.queue.len() as u64;
-        // Slots that idle peers would lend count, unless a whole round of peers has refused lately.
-        let local_only = now.mono < service.backoff_until || self.neighbours().is_empty();
-        let slots = u64::from(if local_only { room.allowed } else { room.total }).max(1);
+        // Slots that idle zone peers would lend count, unless every zone peer in turn has refused
+        // lately.
+        let local_only = now.mono < service.backoff_until || self.zone_peers().is_empty();
+        let slots = u64::from(if local_only { counts.allowed } else { counts.total }).max(1);
         let mean = service.times.mean().unwrap_or(0);
-        let free = if local_only { u64::from(room.free) } else { slots.saturating_sub(queued) };
+        let free = if local_only { u64::from(counts.free) } else { slots.saturating_sub(queued) };
         if queued + count > policy.max_queue + free {
             let excess = (queued + count).saturating_sub(policy.max_queue);
             let why = format!("{queued} tasks wait, at most {}", policy.max_queue);
@@ -139,7 +142,7 @@
             return Err(Verdict::refuse(Refusal::Overload, why, retry));
         }
         let deadline = now.mono + left;
-        let ahead = service.queue.ahead(spec.team.as_ref(), deadline) as u64;
+        let ahead = service.queue.count_ahead(spec.team.as_ref(), deadline) as u64;
         let Some(longest) = service.times.quantile(LAST_TASK_QUANTILE) else {
             return Ok(());
         };
@@ -163,8 +166,8 @@
 
 /// Time left until the deadline of a submission, milliseconds.
 pub(crate) fn deadline_ms(spec: &Spec, policy: &tree::Policy) -> u64 {
-    let asked = if spec.left_ms == 0 { policy.deadline_ms } else { spec.left_ms };
-    asked.min(policy.max_deadline_ms)
+    let requested = if spec.left_ms == 0 { policy.deadline_ms } else { spec.left_ms };
+    requested.min(policy.max_deadline_ms)
 }
 
 /// The claim of a submission on its team's quota, if the service has one set.
--- a/crates/coord/src/member.rs
+++ b/crates/coord/src/member.rs
@@ -1,15 +1,16 @@
-//! Voters of the settings group and of the journals, computed from the bootstrap alone.
+//! Seats of the settings group and of the journals, computed from the bootstrap files alone. A seat
+//! is the name of an instance that votes.
 
 use std::collections;
 
 use state::name;
 
-/// Maximum number of voters in the settings group.
-pub const SETTINGS_SEATS: usize = 5;
-/// Minimum number of voters of a journal, if there are that many instances.
-pub const JOURNAL_SEATS: usize = 3;
+/// Maximum number of seats of the settings group.
+pub const MAX_SETTINGS_SEATS: usize = 5;
+/// Minimum number of seats of a journal, if there are that many instances.
+pub const MIN_JOURNAL_SEATS: usize = 3;
 
-/// Description of an instance that all other instances know.
+/// Static description of an instance, which is the same at all instances.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instance {
     /// Name of the instance.
@@ -17,31 +18,31 @@
     /// Availability zone of the instance.
     pub zone: name::Name,
     /// Whether the instance has a data folder.
-    pub disk: bool,
+    pub has_disk: bool,
 }
 
-/// Returns the voters of the settings group: at most [`SETTINGS_SEATS`] instances with a data
+/// Returns the seats of the settings group: at most [`MAX_SETTINGS_SEATS`] instances with a data
 /// folder, taken from the availability zones in turn.
 pub fn settings_seats(all: &[Instance]) -> Vec<name::Name> {
-    let disks = all.iter().filter(|instance| instance.disk);
+    let disks = all.iter().filter(|instance| instance.has_disk);
     let mut seats = interleave_zones(disks);
-    seats.truncate(SETTINGS_SEATS);
+    seats.truncate(MAX_SETTINGS_SEATS);
     seats.sort();
     seats
 }
 
-/// Returns the voters of a zone's journal: an odd number of the zone's instances, with witnesses
-/// from other zones if the zone has fewer than [`JOURNAL_SEATS`] instances.
+/// Returns the seats of a zone's journal: an odd number of the zone's instances, with witnesses
+/// from other zones if the zone has fewer than [`MIN_JOURNAL_SEATS`] instances.
 pub fn journal_seats(all: &[Instance], zone: &name::Name) -> Vec<name::Name> {
     let local = all.iter().filter(|instance| instance.zone == *zone);
     let mut seats: Vec<_> = local.map(|instance| instance.name.clone()).collect();
     seats.sort();
-    if seats.len() >= JOURNAL_SEATS {
+    if seats.len() >= MIN_JOURNAL_SEATS {
         seats.truncate(round_down_to_odd(seats.len()));
         return seats;
     }
     let remote = all.iter().filter(|instance| instance.zone != *zone);
-    let missing = JOURNAL_SEATS - seats.len();
+    let missing = MIN_JOURNAL_SEATS - seats.len();
     seats.extend(interleave_zones(remote).into_iter().take(missing));
     seats.truncate(round_down_to_odd(seats.len()));
     seats
--- a/crates/coord/src/message.rs
+++ b/crates/coord/src/message.rs
@@ -91,7 +91,7 @@
 pub enum FormMessage {
     /// Asks for the receiver's formation. It carries the sender's formation, if it has one.
     Probe(Option<Formation>),
-    /// The sender's formation, if it has one, and whether it voted in it.
+    /// Answer to [`Self::Probe`]: the sender's formation, if it has one.
     Found(Option<Formation>),
     /// Asks the receiver to join this formation.
     Ask(Formation),
@@ -164,7 +164,7 @@
         voters: entry::Voters,
         /// The encoded state machine.
         state: bytes::Bytes,
-        /// Clock of the leader when it sent this.
+        /// Clock of the leader when it sent this, microseconds.
         sent: u64,
     },
     /// Transfers leadership: the receiver starts an election immediately (Ongaro 2014, section
@@ -213,11 +213,11 @@
     /// Whether the tasks may safely run more than once.
     pub idempotent: bool,
     /// Resources that one task needs.
-    pub needs: upstream::Needs,
+    pub needs: upstream::Resources,
     /// Payload of each task.
     pub tasks: Vec<bytes::Bytes>,
     /// Content type of the payloads.
-    pub content: name::Name,
+    pub content_type: name::Name,
     /// Whether the client gets the upstream's answer unchanged (a request, not a job).
     pub raw: bool,
     /// W3C trace context of the submission.
@@ -238,11 +238,11 @@
 pub struct Answer {
     /// Body, unchanged as the upstream sent it.
     pub body: bytes::Bytes,
-    /// Its content type.
-    pub content: name::Name,
+    /// Content type of the body.
+    pub content_type: name::Name,
 }
 
-/// Why a job was refused before anything started.
+/// Reason for which a job was refused before any of its tasks started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Refusal {
     /// The submission is malformed or exceeds a limit, so a retry cannot succeed.
@@ -300,7 +300,7 @@
         /// Whether the deadline was the reason.
         late: bool,
     },
-    /// No task started.
+    /// The job was refused; none of its tasks was started.
     NotRun {
         /// The kind of refusal.
         kind: Refusal,
@@ -364,14 +364,14 @@
         /// [`Verdict::Running`] at once.
         wait: bool,
     },
-    /// Asks for the answers of a completed job, if the receiver keeps them.
+    /// Asks for the answers of a completed job, if the receiver has them in its cache.
     Fetch {
         /// Number of the call.
         call: u64,
         /// The job.
         job: id::JobId,
     },
-    /// Asks the receiver to cancel a job and to answer whether the job is known.
+    /// Asks the receiver to cancel a job and to answer whether the zone has such a job.
     Cancel {
         /// Number of the call.
         call: u64,
@@ -385,14 +385,14 @@
         /// The answer.
         verdict: Verdict,
     },
-    /// Asks the receiver to keep the answers for resubmissions.
+    /// Asks the receiver to cache the answers for resubmissions.
     Copy {
         /// The job.
         job: id::JobId,
         /// Answers of the job, in task order.
         answers: Vec<Answer>,
     },
-    /// Confirms that the sender keeps the answers.
+    /// Confirms that the sender has cached the answers.
     Copied {
         /// The job.
         job: id::JobId,
@@ -433,7 +433,7 @@
         number: u64,
         /// Number of slots of the service that the sender has borrowed from the receiver. Grants
         /// of the receiver beyond that number were lost in transit.
-        held: u32,
+        borrowed: u32,
     },
     /// Grants slots, by upstream.
     Grant {
--- a/crates/coord/src/mirror.rs
+++ b/crates/coord/src/mirror.rs
@@ -47,7 +47,7 @@
     /// Applies one stored change.
     pub fn apply(&mut self, save: raft::Save) {
         match save {
-            raft::Save::Hard(term, vote) => (self.term, self.vote) = (term, vote),
+            raft::Save::HardState(term, vote) => (self.term, self.vote) = (term, vote),
             raft::Save::Entry(entry) => self.push_entry(entry),
             raft::Save::Commit(index) => self.commit = self.commit.max(index),
             raft::Save::Formed(formation, voters) => {
@@ -92,7 +92,7 @@
             state: self.state.clone()?,
         };
         let header =
-            [raft::Save::Hard(self.term, self.vote.clone()), raft::Save::Commit(self.commit)];
+            [raft::Save::HardState(self.term, self.vote.clone()), raft::Save::Commit(self.commit)];
         let entries = self.log.iter().cloned().map(raft::Save::Entry);
         let records = header.into_iter().chain(entries);
         let records = records.map(|save| postcard::to_stdvec(&save).unwrap_or_default()).collect();
@@ -112,7 +112,7 @@
     }
 
     /// Number of log entries after the snapshot.
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.log.iter().count()
     }
 }
--- a/crates/coord/src/news.rs
+++ b/crates/coord/src/news.rs
@@ -15,14 +15,15 @@
 impl Core {
     pub(crate) fn announce(&mut self, ticket: Ticket, mut info: upstream::Upstream, now: Now) {
         let lease = self.tree().policy_at(info.service.as_str()).upstream_lease_ms;
-        let held = self.fleet.table().get(info.name.as_str()).map_or(0, |held| held.info.sequence);
-        info.sequence = now.wall.max(held + 1);
+        let known =
+            self.fleet.upstreams().get(info.name.as_str()).map_or(0, |leased| leased.info.sequence);
+        info.sequence = now.wall.max(known + 1);
         let sequence = info.sequence;
         let changed = self.fleet.put(info.clone(), now.after(lease));
         self.dispatch_pending.insert(info.service.clone());
         if changed {
             let update = message::Table::Changed(vec![(info, lease)]);
-            for to in self.neighbours() {
+            for to in self.zone_peers() {
                 self.send(&to, Body::Table(update.clone()));
             }
         } else {
@@ -32,8 +33,8 @@
     }
 
     pub(crate) fn withdraw(&mut self, ticket: Ticket, name: &name::Name, now: Now) {
-        if let Some(held) = self.fleet.table().get(name.as_str()) {
-            let mut info = held.info.clone();
+        if let Some(leased) = self.fleet.upstreams().get(name.as_str()) {
+            let mut info = leased.info.clone();
             info.phase = upstream::Phase::Gone;
             self.announce(ticket, info, now);
             self.out.pop();
@@ -69,7 +70,7 @@
                 let remaining =
                     |l: &upstream::Leased| l.expires.saturating_sub(now.mono) / time::MS;
                 let list: Vec<_> =
-                    self.fleet.table().iter().map(|l| (l.info.clone(), remaining(l))).collect();
+                    self.fleet.upstreams().iter().map(|l| (l.info.clone(), remaining(l))).collect();
                 if !list.is_empty() {
                     self.send(from, Body::Table(message::Table::Changed(list)));
                 }
@@ -99,7 +100,7 @@
             return;
         }
         self.fetch_at = now.mono + INTERVAL;
-        let peers = self.neighbours();
+        let peers = self.zone_peers();
         if !peers.is_empty() {
             let at = (now.mono / INTERVAL) as usize % peers.len();
             self.send(&peers[at], Body::Table(message::Table::AskSettings));
@@ -112,15 +113,15 @@
         }
         self.renew_at = now.mono + RENEWAL_INTERVAL;
         let renewals = std::mem::take(&mut self.renewals);
-        let held = |(hash, sequence): (u32, u64)| {
-            let found = self.fleet.table().iter().find(|l| {
+        let renewal = |(hash, sequence): (u32, u64)| {
+            let found = self.fleet.upstreams().iter().find(|l| {
                 l.info.sequence == sequence && id::name_hash(l.info.name.as_str()) == hash
             });
             let remaining = found?.expires.saturating_sub(now.mono) / time::MS;
             Some((hash, sequence, remaining as u32))
         };
-        let list: Vec<_> = renewals.into_iter().filter_map(held).collect();
-        for to in self.neighbours() {
+        let list: Vec<_> = renewals.into_iter().filter_map(renewal).collect();
+        for to in self.zone_peers() {
             self.send(&to, Body::Table(message::Table::Renewed(list.clone())));
         }
     }
--- a/crates/coord/src/overdue.rs
+++ b/crates/coord/src/overdue.rs
@@ -25,7 +25,7 @@
             self.deadlines.pop_first();
             self.on_deadline(&id, now);
         }
-        let lost_contact = self.without_lease(now.mono) > CONTACT_TIMEOUT;
+        let lost_contact = self.time_without_lease(now.mono) > CONTACT_TIMEOUT;
         let mut due = Vec::new();
         for (id, job) in &self.jobs {
             let pending = !matches!(job.phase, Phase::Running);
@@ -108,7 +108,7 @@
     }
 }
 
-/// The verdict of a job none of whose tasks was started before the deadline.
+/// Verdict on a job of which no task was started before the deadline.
 pub(crate) fn not_started() -> Verdict {
     const RETRY_MS: u64 = 100;
     Verdict::refuse(Refusal::Expired, "no task was started before the deadline", RETRY_MS)
--- a/crates/coord/src/place.rs
+++ b/crates/coord/src/place.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Picks the least expected work. A random start breaks ties, so that instances do not all pick the
-/// same upstream at once.
+/// Picks the upstream with the least expected work. A random start breaks ties, so that instances
+/// do not all pick the same upstream at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastWork;
 
--- a/crates/coord/src/queue.rs
+++ b/crates/coord/src/queue.rs
@@ -48,7 +48,7 @@
 
     /// Number of tasks that would start before a new task of `team` with this deadline: tasks of
     /// other teams, and those of the same team that have the same or an earlier deadline.
-    pub fn ahead(&self, team: Option<&name::Name>, deadline: u64) -> usize {
+    pub fn count_ahead(&self, team: Option<&name::Name>, deadline: u64) -> usize {
         let own = self.teams.iter().find(|(name, _)| name.as_ref() == team);
         let own = own.map_or(0, |(_, t)| t.tasks.range(..(deadline, u64::MAX)).count());
         let waiting = self.teams.values().filter(|t| !t.tasks.is_empty()).count();
@@ -87,8 +87,8 @@
         Some(task)
     }
 
-    /// Puts back a task that `pop` returned and that could not start, and takes back the start
-    /// counted for its team.
+    /// Returns a task that `pop` removed and that could not start to the queue, and subtracts the
+    /// start counted for its team.
     pub fn put_back(&mut self, team: Option<&name::Name>, deadline: u64, task: Task) {
         self.push(team, deadline, task);
         if let Some(entry) = self.teams.get_mut(&team.cloned()) {
--- a/crates/coord/src/raft.rs
+++ b/crates/coord/src/raft.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Save {
     /// The current term and the vote in that term.
-    Hard(u64, Option<name::Member>),
+    HardState(u64, Option<name::Member>),
     /// A log entry. It replaces the entry at its index and removes all entries after that.
     Entry(Entry),
     /// All entries up to this index are committed.
@@ -54,7 +54,7 @@
     Formed(message::Formation, Voters),
     /// The member leaves its formation.
     Reset,
-    /// A snapshot replaces everything up to `index`.
+    /// A snapshot replaces all entries up to `index`.
     Snapshot {
         /// Last index that the snapshot covers.
         index: u64,
@@ -140,12 +140,14 @@
     pub(crate) base_voters: Voters,
     pub(crate) voters: Voters,
     pub(crate) commit: u64,
+    /// Index of the last entry known to be on disk.
     pub(crate) synced: u64,
     pub(crate) role: Role,
     pub(crate) leader: Option<name::Member>,
     pub(crate) leader_contact: u64,
     /// Latest value of this member's own clock that the leader echoed; 0 if there is none.
     pub(crate) lease_start: u64,
+    /// When this member starts an election unless a leader contacts it, microseconds.
     pub(crate) election_at: u64,
     pub(crate) out: Output,
 }
@@ -196,7 +198,7 @@
     ) -> Self {
         let stored = Stored { term: 1, vote: Some(me.clone()), voters, ..Stored::default() };
         let mut raft = Self::new(me, timing, durable, stored, now, seed);
-        raft.out.saves.push(Save::Hard(raft.term, raft.vote.clone()));
+        raft.out.saves.push(Save::HardState(raft.term, raft.vote.clone()));
         raft.become_leader(now);
         let voters = raft.voters.clone();
         raft.append(Payload::Voters(voters), now);
@@ -228,7 +230,7 @@
         &self.voters
     }
 
-    /// Leader that this member currently knows of.
+    /// Leader known to this member.
     pub fn leader(&self) -> Option<&name::Member> {
         self.leader.as_ref()
     }
@@ -238,14 +240,14 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this member leads or has heard from the leader within an election timeout.
+    /// Whether this member leads or received a message from the leader within an election timeout.
     pub fn has_leader(&self, now: u64) -> bool {
         self.is_leader()
             || (self.leader.is_some() && now < self.leader_contact + self.timing.election)
     }
 
     /// End of this member's lease, on its own clock.
-    pub fn lease(&self, now: u64) -> u64 {
+    pub fn lease_end(&self, now: u64) -> u64 {
         match &self.role {
             Role::Leader(lead) => self.quorum_ack(lead, now) + self.timing.lease,
             _ if self.lease_start == 0 => 0,
@@ -271,7 +273,7 @@
     }
 
     /// Whether an entry of the current term is committed, so that a leader's commit index covers
-    /// everything that any earlier leader has committed.
+    /// all entries that any earlier leader has committed.
     pub fn is_current(&self) -> bool {
         self.log.term(self.commit) == Some(self.term)
     }
@@ -306,7 +308,7 @@
         Some(self.append(payload, now))
     }
 
-    /// Sends `member` the commit index as soon as everything proposed so far is committed.
+    /// Sends `member` the commit index as soon as all entries proposed so far are committed.
     pub fn notify_commit(&mut self, member: &name::Member) {
         let last = self.log.last();
         if let Role::Leader(lead) = &mut self.role
@@ -358,7 +360,7 @@
         self.out.saves.clear();
     }
 
-    /// Drops log entries that the state machine covers, but keeps `keep` of them for slow
+    /// Removes log entries that the state machine has applied, but keeps `keep` of them for slow
     /// followers.
     pub fn compact(&mut self, keep: u64) {
         let index = self.commit.saturating_sub(keep);
--- a/crates/coord/src/replicate.rs
+++ b/crates/coord/src/replicate.rs
@@ -192,7 +192,7 @@
     }
 
     pub(crate) fn send_append(&mut self, to: &name::Member, now: u64) {
-        let has_lease = self.lease(now) > now;
+        let has_lease = self.lease_end(now) > now;
         let Role::Leader(lead) = &mut self.role else {
             return;
         };
--- a/crates/coord/src/run.rs
+++ b/crates/coord/src/run.rs
@@ -19,7 +19,7 @@
 const MAX_LOAN: u32 = 64;
 /// A request for slots without an answer counts as refused after this, microseconds.
 const LOAN_TIMEOUT: u64 = 300 * time::MS;
-/// Minimum and maximum backoff after every peer has refused to lend, microseconds.
+/// Minimum and maximum backoff after every zone peer has refused to lend, microseconds.
 const LOAN_BACKOFF: (u64, u64) = (50 * time::MS, 1_000 * time::MS);
 
 impl Core {
@@ -33,8 +33,8 @@
         if self.services.get(service).is_none_or(|entry| entry.queue.is_empty()) {
             return;
         }
-        let lease = if self.has_lease(now.mono) { self.journal.lease(now.mono) } else { 0 };
-        let mut free = self.fleet.room(service, now.mono).free;
+        let lease = if self.has_lease(now.mono) { self.journal.lease_end(now.mono) } else { 0 };
+        let mut free = self.fleet.slot_counts(service, now.mono).free;
         let mut skipped = Vec::new();
         while skipped.len() < LOOK_AHEAD && free > 0 {
             let queue = self.services.get_mut(service).map(|service| &mut service.queue);
@@ -80,15 +80,15 @@
         let Some(address) = self.fleet.start(&upstream) else {
             return false;
         };
-        self.attempts += 1;
-        let number = self.attempts;
+        self.last_attempt += 1;
+        let number = self.last_attempt;
         let start = Start {
             task: task.clone(),
             attempt: number,
             upstream: upstream.clone(),
             address: address.clone(),
             body: spec.tasks.get(task.index as usize).cloned().unwrap_or_default(),
-            content: spec.content.clone(),
+            content_type: spec.content_type.clone(),
             deadline: job.deadline,
             lease: if job.journaled { lease } else { u64::MAX },
             trace: spec.trace.clone(),
@@ -111,10 +111,10 @@
             Finish::Unsent => fleet::End::Neutral,
             Finish::Unreached | Finish::Failed(_) => fleet::End::Failed,
         };
-        let service = self.fleet.table().get(done.upstream.as_str()).map(|l| &l.info.service);
+        let service = self.fleet.upstreams().get(done.upstream.as_str()).map(|l| &l.info.service);
         self.dispatch_pending.extend(service.cloned());
         let expected = self.take_attempt(&done);
-        // If this instance has stopped a task, its failure is no sign of a fault of the upstream.
+        // The failure of a task that this instance has stopped does not indicate a faulty upstream.
         let cancelled = !expected && end == fleet::End::Failed;
         self.fleet.finish(
             &done.upstream,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Removes an attempt from its job; returns false if the job does not wait for it.
+    /// Removes an attempt from its job; returns false if the job no longer needs its result.
     fn take_attempt(&mut self, done: &Done) -> bool {
         let Some(job) = self.jobs.get_mut(&done.task.job) else {
             return false;
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Requeues a task whose attempt provably started nothing, so another upstream may run it.
+    /// Requeues a task that the upstream certainly did not start, so another upstream may run it.
     fn on_unstarted(&mut self, task: &Task) {
         self.counts.moved += 1;
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -239,9 +239,9 @@
         }
     }
 
-    /// Requests idle slots from the peers in turn, with one outstanding request at a time.
+    /// Requests idle slots from the zone peers in turn, with one outstanding request at a time.
     fn request_slots(&mut self, service: &name::Name, now: Now) {
-        let peers = self.neighbours();
+        let peers = self.zone_peers();
         let baselines = self.config.baselines;
         if peers.is_empty() || !baselines.borrow || !baselines.shares {
             return;
@@ -258,18 +258,18 @@
         entry.requested_at = now.mono;
         let count = (entry.queue.len() as u32).min(MAX_LOAN);
         let (number, service) = (entry.requested_at, service.clone());
-        let held = self.fleet.borrowed_from(&to, &service);
+        let borrowed = self.fleet.borrowed_from(&to, &service);
         self.counts.asked_loans += 1;
-        self.send(&to, Body::Loan(message::Loan::Ask { service, count, number, held }));
+        self.send(&to, Body::Loan(message::Loan::Ask { service, count, number, borrowed }));
     }
 
     pub(crate) fn on_loan(&mut self, from: &name::Name, loan: message::Loan, now: Now) {
         match loan {
-            message::Loan::Ask { service, count, number, held } => {
-                self.fleet.settle_loans(from, &service, held);
+            message::Loan::Ask { service, count, number, borrowed } => {
+                self.fleet.reconcile_loans(from, &service, borrowed);
                 let busy = self.services.get(&service).is_some_and(|s| !s.queue.is_empty());
-                let member = self.neighbours().contains(from);
-                let count = if busy || !member { 0 } else { count };
+                let is_member = self.zone_peers().contains(from);
+                let count = if busy || !is_member { 0 } else { count };
                 let slots = self.fleet.lend(from, &service, count, now.mono);
                 self.send(from, Body::Loan(message::Loan::Grant { service, number, slots }));
             }
@@ -291,7 +291,7 @@
         slots: &[(name::Name, u32)],
         now: Now,
     ) {
-        let peers = self.neighbours().len().max(1);
+        let peers = self.zone_peers().len().max(1);
         let Some(entry) = self.services.get_mut(service) else {
             return;
         };
@@ -318,7 +318,7 @@
     /// them again.
     pub(crate) fn return_idle_slots(&mut self, now: Now) {
         const RETURN_INTERVAL: u64 = 200 * time::MS;
-        if now.mono < self.return_at || self.fleet.loans().total() == 0 {
+        if now.mono < self.return_at || self.fleet.loans().total_borrowed() == 0 {
             return;
         }
         self.return_at = now.mono + RETURN_INTERVAL;
--- a/crates/coord/src/share.rs
+++ b/crates/coord/src/share.rs
@@ -29,7 +29,7 @@
     slots / count + u32::from(position < slots % count)
 }
 
-/// Slots lent to one peer.
+/// Slots lent to one zone peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Lent {
     to: name::Name,
@@ -38,7 +38,7 @@
     until: u64,
 }
 
-/// Slots borrowed from one peer.
+/// Slots borrowed from one zone peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Borrowed {
     from: name::Name,
@@ -60,7 +60,7 @@
         Self::default()
     }
 
-    /// Number of slots of an upstream that this instance has lent to peers.
+    /// Number of slots of an upstream that this instance has lent to zone peers.
     pub fn lent(&self, upstream: &name::Name) -> u32 {
         self.lent.iter().filter(|loan| loan.upstream == *upstream).map(|loan| loan.slots).sum()
     }
@@ -72,17 +72,17 @@
     }
 
     /// Total number of borrowed slots, on all upstreams.
-    pub fn total(&self) -> u32 {
+    pub fn total_borrowed(&self) -> u32 {
         self.borrowed.iter().map(|loan| loan.slots).sum()
     }
 
-    /// Records slots lent to a peer.
+    /// Records slots lent to a zone peer.
     pub fn lend(&mut self, to: &name::Name, upstream: &name::Name, slots: u32, now: u64) {
         let (to, upstream) = (to.clone(), upstream.clone());
         self.lent.push(Lent { to, upstream, slots, until: now + RECLAIM_DELAY });
     }
 
-    /// Records slots borrowed from a peer; `requested_at` is the time of the request.
+    /// Records slots borrowed from a zone peer; `requested_at` is the time of the request.
     pub fn borrow(
         &mut self,
         from: &name::Name,
@@ -94,15 +94,21 @@
         self.borrowed.push(Borrowed { from, upstream, slots, until: requested_at + BORROW_PERIOD });
     }
 
-    /// Number of slots borrowed from a peer on the upstreams for which `covers` returns true.
+    /// Number of slots borrowed from a zone peer on the upstreams for which `covers` returns true.
     pub fn borrowed_from(&self, from: &name::Name, covers: impl Fn(&name::Name) -> bool) -> u32 {
         let from = self.borrowed.iter().filter(|loan| loan.from == *from);
         from.filter(|loan| covers(&loan.upstream)).map(|loan| loan.slots).sum()
     }
 
-    /// Reclaims slots lent to a peer beyond the `held` slots that it reports, latest loans first.
-    pub fn settle(&mut self, to: &name::Name, held: u32, covers: impl Fn(&name::Name) -> bool) {
-        let mut left = held;
+    /// Reclaims slots lent to a zone peer beyond the `borrowed` slots that it reports, latest loans
+    /// first.
+    pub fn reconcile(
+        &mut self,
+        to: &name::Name,
+        borrowed: u32,
+        covers: impl Fn(&name::Name) -> bool,
+    ) {
+        let mut left = borrowed;
         for loan in self.lent.iter_mut().filter(|l| l.to == *to && covers(&l.upstream)) {
             loan.slots = loan.slots.min(left);
             left -= loan.slots;
@@ -110,7 +116,7 @@
         self.lent.retain(|loan| loan.slots > 0);
     }
 
-    /// Records that a peer has returned slots.
+    /// Records that a zone peer has returned slots.
     pub fn take_back(&mut self, by: &name::Name, upstream: &name::Name, slots: u32) {
         let mut left = slots;
         for loan in self.lent.iter_mut().filter(|l| l.to == *by && l.upstream == *upstream) {
--- a/crates/coord/src/status.rs
+++ b/crates/coord/src/status.rs
@@ -34,13 +34,13 @@
     pub address: name::Name,
     /// Total number of slots.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Lifecycle phase.
     pub phase: upstream::Phase,
     /// Remaining time of the upstream's lease, milliseconds.
     pub lease_ms: u64,
-    /// Number of tasks that this instance has in flight there.
+    /// Number of tasks that this instance has in flight at the upstream.
     pub outstanding: u32,
-    /// Whether it is ejected.
+    /// Whether the upstream is ejected.
     pub ejected: bool,
 }
 
@@ -82,13 +82,13 @@
     pub jobs: usize,
     /// Number of jobs in the zone's journal.
     pub remembered: usize,
-    /// Size of the kept answers, bytes.
+    /// Size of the cached answers, bytes.
     pub answers: usize,
-    /// Number of slots that are borrowed at present.
+    /// Number of borrowed slots.
     pub borrowed: u32,
     /// Upstreams known to the instance.
     pub upstreams: Vec<Upstream>,
-    /// Services with work or upstreams.
+    /// Services known to the instance.
     pub services: Vec<Service>,
     /// Counters since the start of the instance.
     pub counts: crate::event::Counts,
@@ -98,7 +98,7 @@
     /// The status report of this instance.
     pub fn status(&self, now: Now) -> Status {
         let remaining = |until: u64| until.saturating_sub(now.mono) / crate::time::MS;
-        let upstreams = self.fleet.table().iter().map(|leased| Upstream {
+        let upstreams = self.fleet.upstreams().iter().map(|leased| Upstream {
             upstream: leased.info.name.clone(),
             service: leased.info.service.clone(),
             address: leased.info.address.clone(),
@@ -114,13 +114,13 @@
             ready: self.is_ready(),
             draining: self.draining,
             version: self.tree().version(),
-            lease_ms: remaining(self.journal.lease(now.mono)),
+            lease_ms: remaining(self.journal.lease_end(now.mono)),
             groups: self.groups(now.mono),
             members: self.members(),
             jobs: self.jobs.len(),
             remembered: self.table().len(),
             answers: self.answers.bytes(),
-            borrowed: self.fleet.loans().total(),
+            borrowed: self.fleet.loans().total_borrowed(),
             upstreams: upstreams.collect(),
             services: self.describe_services(now.mono),
             counts: self.counts.clone(),
@@ -154,13 +154,19 @@
     }
 
     fn describe_services(&self, now: u64) -> Vec<Service> {
-        let known = self.fleet.table().iter().map(|leased| leased.info.service.clone());
+        let known = self.fleet.upstreams().iter().map(|leased| leased.info.service.clone());
         let names: std::collections::BTreeSet<_> =
             known.chain(self.services.keys().cloned()).collect();
         let state = |service: name::Name| {
-            let room = self.fleet.room(&service, now);
+            let counts = self.fleet.slot_counts(&service, now);
             let queue = self.services.get(&service).map_or(0, |s| s.queue.len());
-            Service { queue, share: room.allowed, free: room.free, total: room.total, service }
+            Service {
+                queue,
+                share: counts.allowed,
+                free: counts.free,
+                total: counts.total,
+                service,
+            }
         };
         names.into_iter().map(state).collect()
     }
--- a/crates/coord/src/upkeep.rs
+++ b/crates/coord/src/upkeep.rs
@@ -5,16 +5,20 @@
 use crate::{
     entry::{Payload, Voters},
     form,
-    group::{Config, Group, Joined, LEARNER_TIMEOUT, MAX_SKEW_MS, Machine, PROBE_INTERVAL, Stage},
+    group::{
+        Config, Group, Joined, LEADER_PROBE_INTERVAL, LEARNER_TIMEOUT, MAX_SKEW_MS, Machine, Stage,
+    },
     message::{self, FormMessage, Formation},
     raft::{self, Raft, Save},
     time,
 };
 
-/// How long a voter must be silent to lose its seat to another member, in microseconds. This is
-/// longer than a freeze or a restart, and well below the time in which a second disk may be lost.
+/// Time without a message after which a voter may lose its seat to another member, in microseconds.
+/// This is longer than a freeze or a restart, and well below the time in which a second disk may
+/// be lost.
 const LOST_VOTER_TIMEOUT: u64 = 3_000 * time::MS;
-/// Maximum silence of a member that takes over a seat, in microseconds: two heartbeats.
+/// Maximum time since the last message of a member that takes over a seat, in microseconds: two
+/// heartbeats.
 const RESEAT_MAX_SILENCE: u64 = 500 * time::MS;
 
 impl<M: Machine> Group<M> {
@@ -109,7 +113,7 @@
     /// Probes the other instances for a group to join.
     pub(crate) fn probe_for_group(&mut self, now: u64) {
         if now >= self.next_probe {
-            self.next_probe = now + PROBE_INTERVAL;
+            self.next_probe = now + LEADER_PROBE_INTERVAL;
             self.probe();
         }
     }
@@ -184,7 +188,7 @@
             return;
         };
         if now >= joined.next_probe {
-            joined.next_probe = now + PROBE_INTERVAL;
+            joined.next_probe = now + LEADER_PROBE_INTERVAL;
             self.probe();
         }
     }
--- a/crates/coord/src/waiter.rs
+++ b/crates/coord/src/waiter.rs
@@ -1,4 +1,4 @@
-//! The receivers of a verdict.
+//! Receivers of verdicts.
 
 use state::name;
 
@@ -7,11 +7,13 @@
 /// The receiver of a verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
-    Ticket(Ticket),
-    /// A client that queries or cancels a job; its reply does not count as a submission's outcome.
+    /// A client that submitted a job or a request.
+    Submission(Ticket),
+    /// A client that queries or cancels a job; the reply does not count as an outcome of a
+    /// submission.
     Query(Ticket),
     /// A peer, with the number of its call.
     Peer(name::Name, u64),
-    /// Nothing receives the verdict.
+    /// No receiver; the verdict is discarded.
     Discard,
 }
--- a/crates/coord/tests/bodies.rs
+++ b/crates/coord/tests/bodies.rs
@@ -29,7 +29,12 @@
         Body::Job(Job::Await { call: 1, job, wait: true }),
         Body::Table(Table::Renewed(vec![(1, u64::MAX, u32::MAX)])),
         Body::Table(Table::Settings("junk".into())),
-        Body::Loan(Loan::Ask { service: "a".into(), count: u32::MAX, number: 1, held: u32::MAX }),
+        Body::Loan(Loan::Ask {
+            service: "a".into(),
+            count: u32::MAX,
+            number: 1,
+            borrowed: u32::MAX,
+        }),
         Body::Ping(true),
     ]
 }
--- a/crates/coord/tests/net/mod.rs
+++ b/crates/coord/tests/net/mod.rs
@@ -77,8 +77,8 @@
         for (zone, count) in zones {
             for number in 1..=*count {
                 let name = name::Name::new(&format!("{zone}-{number}"));
-                let disk = instances.len() < disks;
-                instances.push(Instance { name, zone: name::Name::new(zone), disk });
+                let has_disk = instances.len() < disks;
+                instances.push(Instance { name, zone: name::Name::new(zone), has_disk });
             }
         }
         let mut net = Self {
@@ -131,7 +131,7 @@
         let config = Config {
             me: self.instances[at].clone(),
             incarnation: self.incarnations,
-            disk: self.instances[at].disk.then_some(host.disk_id),
+            disk_incarnation: self.instances[at].has_disk.then_some(host.disk_id),
             all: self.instances.clone(),
             baselines: boot::Baselines::default(),
             seed: self.incarnations,
@@ -346,9 +346,9 @@
     fn end(&mut self, run: (usize, u64, Start), ok: bool) {
         let (owner, _, start) = run;
         let body = format!("{}", start.task.index).into();
-        let content = name::Name::new("application/json");
+        let content_type = name::Name::new("application/json");
         let finish = if ok {
-            Finish::Answer(Answer { body, content })
+            Finish::Answer(Answer { body, content_type })
         } else {
             Finish::Failed("broken".to_owned())
         };
@@ -522,9 +522,9 @@
         team: None,
         left_ms,
         idempotent: false,
-        needs: upstream::Needs::default(),
+        needs: upstream::Resources::default(),
         tasks: (0..tasks).map(|index| index.to_string().into()).collect(),
-        content: name::Name::new("application/json"),
+        content_type: name::Name::new("application/json"),
         raw: false,
         trace: name::Name::new(""),
     }
--- a/crates/coord/tests/queues.rs
+++ b/crates/coord/tests/queues.rs
@@ -62,8 +62,9 @@
 #[test]
 fn bounded_answers() {
     let mut answers = Answers::new(10_000);
-    let body =
-        |size: usize| vec![Answer { body: vec![0; size].into(), content: Name::new("text/plain") }];
+    let body = |size: usize| {
+        vec![Answer { body: vec![0; size].into(), content_type: Name::new("text/plain") }]
+    };
     for number in 0..100 {
         answers.put(&task(number).job, body(1_000));
         assert!(answers.bytes() <= 10_000);
@@ -78,7 +79,7 @@
         let one = |number: usize| Instance {
             name: Name::new(&format!("{zone}-{number}")),
             zone: Name::new(zone),
-            disk: number < disks,
+            has_disk: number < disks,
         };
         (0..*count).map(one).collect::<Vec<_>>()
     };
--- a/crates/coord/tests/slots.rs
+++ b/crates/coord/tests/slots.rs
@@ -34,7 +34,7 @@
 }
 
 fn pick(fleet: &mut Fleet, now: u64) -> Option<Name> {
-    let picked = fleet.pick(&Name::new("a"), &upstream::Needs::default(), None, now)?;
+    let picked = fleet.pick(&Name::new("a"), &upstream::Resources::default(), None, now)?;
     fleet.start(&picked);
     Some(picked)
 }
@@ -88,8 +88,8 @@
 
 #[test]
 fn reach_ranks() {
-    let needs = |cores| upstream::Needs { cores, ..upstream::Needs::default() };
-    let room = upstream::Needs { cores: 2.0, memory_mb: 100, accelerators: 0 };
+    let needs = |cores| upstream::Resources { cores, ..upstream::Resources::default() };
+    let room = upstream::Resources { cores: 2.0, memory_mb: 100, accelerators: 0 };
     let mut fleet = Fleet::new(boot::Baselines::default(), 1);
     let service = Name::new("a");
     assert_eq!(fleet.availability(&service, &needs(1.0), 0), Availability::NoUpstream);
@@ -172,7 +172,7 @@
                 Step::Ask(a, b, _) if a == b => {}
                 Step::Ask(to, by, count) => {
                     let held = fleets[to].borrowed_from(&names[by], &service);
-                    fleets[by].settle_loans(&names[to], &service, held);
+                    fleets[by].reconcile_loans(&names[to], &service, held);
                     let lent = fleets[by].lend(&names[to], &service, count, now);
                     fleets[to].borrow(&names[by], &lent, now);
                 }
@@ -194,7 +194,7 @@
                 Step::Leave(at) => {
                     for (other, fleet) in fleets.iter_mut().enumerate() {
                         let gone = if other == at { None } else { Some(&names[at]) };
-                        fleet.keep_loans(|name| gone.is_some_and(|gone| gone != name));
+                        fleet.retain_loans(|name| gone.is_some_and(|gone| gone != name));
                     }
                     late |= running.iter().sum::<u32>() > 0;
                 }
--- a/crates/dispatch/src/control_log.rs
+++ b/crates/dispatch/src/control_log.rs
@@ -452,7 +452,7 @@
     /// The latest time at which a quorum is known to have followed this member as its leader.
     fn quorum_time(&self, now: u64) -> Option<u64> {
         let raft = self.group.raft().filter(|raft| raft.is_leader() && raft.is_current())?;
-        Some(raft.lease(now).saturating_sub(TIMING.lease))
+        Some(raft.lease_end(now).saturating_sub(TIMING.lease))
     }
 }
 
--- a/crates/proto/src/json.rs
+++ b/crates/proto/src/json.rs
@@ -22,12 +22,12 @@
     /// Deadline for the whole response, in milliseconds. It defaults to that of the service.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Whether it is safe to run a task more than once.
+    /// Whether the tasks may safely run more than once.
     #[serde(default)]
     pub idempotent: bool,
     /// Resource needs of one task.
     #[serde(default)]
-    pub needs: Option<upstream::Needs>,
+    pub needs: Option<upstream::Resources>,
     /// The tasks.
     #[serde(borrow)]
     pub tasks: Vec<Task<'a>>,
@@ -145,7 +145,7 @@
     pub state: &'static str,
     /// The job.
     pub job: String,
-    /// Results of the tasks, in task order.
+    /// Answers of the tasks, in task order.
     pub answers: Vec<&'a RawValue>,
 }
 
@@ -254,7 +254,7 @@
     pub fn upstream(&self) -> upstream::Upstream {
         let declared =
             self.cores.is_some() || self.memory_mb.is_some() || self.accelerators.is_some();
-        let capacity = upstream::Needs {
+        let capacity = upstream::Resources {
             cores: self.cores.unwrap_or(f64::MAX),
             memory_mb: self.memory_mb.unwrap_or(u64::MAX),
             accelerators: self.accelerators.unwrap_or(0),
--- a/crates/state/src/boot.rs
+++ b/crates/state/src/boot.rs
@@ -10,7 +10,7 @@
 };
 
 /// Default maximum duration of a graceful shutdown, in milliseconds.
-pub const DRAIN_MS: u64 = 600_000;
+pub const DEFAULT_DRAIN_MS: u64 = 600_000;
 
 /// Bootstrap settings of an instance.
 #[derive(Clone, Debug, PartialEq)]
@@ -49,7 +49,7 @@
     /// Address for the other instances.
     pub peer: net::SocketAddr,
     /// Whether the instance has a data folder.
-    pub disk: bool,
+    pub has_disk: bool,
 }
 
 /// Log level and format.
@@ -58,7 +58,7 @@
     /// Least severe level that the instance logs.
     pub level: Level,
     /// Format of a log line.
-    pub form: Form,
+    pub format: Format,
 }
 
 /// Severity of a log line.
@@ -74,7 +74,7 @@
 
 /// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
     /// One JSON object per line.
     #[default]
     Json,
@@ -175,7 +175,7 @@
             peers,
             log,
             traces,
-            drain_ms: drain.unwrap_or(DRAIN_MS),
+            drain_ms: drain.unwrap_or(DEFAULT_DRAIN_MS),
             baselines,
         })
     }
@@ -208,9 +208,9 @@
         let instance = self.name(value, &mut map, "instance");
         let zone = self.name(value, &mut map, "availability_zone");
         let peer = self.address(value, &mut map, "peer_address");
-        let disk = map.remove("disk").and_then(|value| self.boolean(&value)).unwrap_or(false);
+        let has_disk = map.remove("disk").and_then(|value| self.boolean(&value)).unwrap_or(false);
         self.reject_unknown(map);
-        Some(Peer { instance: instance?, zone: zone?, peer: peer?, disk })
+        Some(Peer { instance: instance?, zone: zone?, peer: peer?, has_disk })
     }
 
     pub(crate) fn log(&mut self, value: &Located<'_>) -> Log {
@@ -220,14 +220,14 @@
             ("info", Level::Info),
             ("debug", Level::Debug),
         ];
-        const FORMS: &[(&str, Form)] = &[("json", Form::Json), ("text", Form::Text)];
+        const FORMATS: &[(&str, Format)] = &[("json", Format::Json), ("text", Format::Text)];
         let Some(mut map) = self.object(value) else {
             return Log::default();
         };
         let level = map.remove("level").and_then(|value| self.one_of(&value, LEVELS));
-        let form = map.remove("form").and_then(|value| self.one_of(&value, FORMS));
+        let format = map.remove("form").and_then(|value| self.one_of(&value, FORMATS));
         self.reject_unknown(map);
-        Log { level: level.unwrap_or_default(), form: form.unwrap_or_default() }
+        Log { level: level.unwrap_or_default(), format: format.unwrap_or_default() }
     }
 
     fn traces(&mut self, value: &Located<'_>) -> Traces {
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder.rs
@@ -19,7 +19,8 @@
 struct Identity {
     version: u32,
     instance: name::Name,
-    life: u64,
+    #[serde(rename = "life")]
+    incarnation: u64,
 }
 
 #[derive(serde::Serialize, serde::Deserialize)]
@@ -87,7 +88,7 @@
             Err(e) => (None, Some(e)),
         };
         let loaded = Loaded {
-            incarnation: identity.life,
+            incarnation: identity.incarnation,
             snapshot: snapshot.map(|snapshot| snapshot.state),
             records: replay.records,
             truncated_bytes: replay.truncated_bytes,
@@ -188,7 +189,7 @@
 ) -> Result<Identity, error::Error> {
     const STEP: &str = "read identity";
     let path = folder.join(IDENTITY);
-    let fresh = Identity { version: VERSION, instance: instance.clone(), life: incarnation };
+    let fresh = Identity { version: VERSION, instance: instance.clone(), incarnation };
     if !path.exists() {
         let text = serde_json::to_vec(&fresh).unwrap_or_default();
         write_atomic(folder, IDENTITY, &text)?;
@@ -202,7 +203,7 @@
         return Err(error::Error::owner(STEP, reason));
     }
     if found.version != VERSION {
-        let reason = format!("{} has layout version {}", folder.display(), found.version);
+        let reason = format!("{} has format version {}", folder.display(), found.version);
         return Err(error::Error::owner(STEP, reason));
     }
     Ok(found)
--- a/crates/state/src/id.rs
+++ b/crates/state/src/id.rs
@@ -7,8 +7,8 @@
 
 /// Id of a job: `<availability zone>-<uuid v7>`.
 ///
-/// The UUID contains its creation time, so the age of an id is known. Old jobs can be pruned safely
-/// because a job whose id is older than the retention period is never run.
+/// The UUID contains its creation time, so the age of a job follows from its id. Old jobs can be
+/// pruned safely because a job whose id is older than the retention period is never run.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct JobId {
     zone: name::Name,
--- a/crates/state/src/key.rs
+++ b/crates/state/src/key.rs
@@ -22,7 +22,7 @@
     pub unit: &'static str,
     /// Type and range of the values.
     pub kind: Kind,
-    /// Value that applies if no level of the tree sets the key. A flag is 0 or 1.
+    /// Value that applies if no level of the tree sets the key. A Boolean is 0 (false) or 1 (true).
     pub default: f64,
 }
 
@@ -69,17 +69,17 @@
     }
 
     /// Returns why `value` is invalid, or `None` if it is valid.
-    pub fn fault(&self, value: &Value) -> Option<String> {
+    pub fn value_error(&self, value: &Value) -> Option<String> {
         let valid = match self.kind {
             Kind::Integer(min, max) => value.as_u64().is_some_and(|n| (min..=max).contains(&n)),
             Kind::Fraction(max) => value.as_f64().is_some_and(|x| (0.0..=max).contains(&x)),
             Kind::Boolean => value.is_boolean(),
         };
-        if valid { None } else { Some(format!("expected {}", self.range())) }
+        if valid { None } else { Some(format!("expected {}", self.describe_range())) }
     }
 
     /// Describes the accepted values.
-    pub fn range(&self) -> String {
+    pub fn describe_range(&self) -> String {
         match self.kind {
             Kind::Integer(min, max) => format!("a whole number from {min} to {max}"),
             Kind::Fraction(max) => format!("a number from 0 to {max}"),
--- a/crates/state/src/name.rs
+++ b/crates/state/src/name.rs
@@ -3,7 +3,7 @@
 use std::{borrow, fmt, sync};
 
 /// Maximum length of a valid name, in bytes.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_LEN: usize = 64;
 
 /// An immutable name that is cheap to clone.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
@@ -21,11 +21,11 @@
         &self.0
     }
 
-    /// Returns whether `text` is a valid name: 1 to [`MAX_NAME`] bytes of ASCII letters, digits,
-    /// `-`, `_` and `.`.
+    /// Returns whether `text` is a valid name: 1 to [`MAX_NAME_LEN`] bytes of ASCII letters,
+    /// digits, `-`, `_` and `.`.
     pub fn is_valid(text: &str) -> bool {
         let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        !text.is_empty() && text.len() <= MAX_NAME && text.bytes().all(allowed)
+        !text.is_empty() && text.len() <= MAX_NAME_LEN && text.bytes().all(allowed)
     }
 }
 
--- a/crates/state/src/node.rs
+++ b/crates/state/src/node.rs
@@ -56,7 +56,7 @@
     /// Availability zones that are known at startup.
     pub zones: Vec<name::Name>,
     /// Whether this is the first start of the whole system.
-    pub first: bool,
+    pub first_start: bool,
     /// Longest lease that upstreams grant, in milliseconds.
     pub lease_ms: u64,
     /// Time from SIGTERM to the forced end, in milliseconds.
@@ -127,7 +127,7 @@
         let folder = map.remove("data_folder").and_then(|value| self.string(&value));
         let seeds = self.seeds(&mut map);
         let zones = self.zones(&mut map);
-        let first = map.remove("first_start").and_then(|value| self.boolean(&value));
+        let first_start = map.remove("first_start").and_then(|value| self.boolean(&value));
         let lease = map.remove("lease_ms").and_then(|value| self.unsigned(&value));
         let grace = map.remove("grace_ms").and_then(|value| self.unsigned(&value));
         let offset = map.remove("clock_offset_ms").and_then(|value| self.signed(&value));
@@ -150,7 +150,7 @@
             folder: folder.map(path::PathBuf::from),
             seeds,
             zones,
-            first: first.unwrap_or(false),
+            first_start: first_start.unwrap_or(false),
             lease_ms: lease.unwrap_or(DEFAULT_LEASE_MS),
             grace_ms: grace.unwrap_or(DEFAULT_GRACE_MS),
             millicores: cores.unwrap_or(MILLICORES),
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -8,14 +8,14 @@
 /// the same id.
 pub type Digest = u128;
 
-/// How a job ended, as the journal records it.
+/// Outcome of a job, as the journal records it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
-    /// Every task returned a result.
+    /// Every task returned an answer.
     Complete,
-    /// Final failure; some tasks may have run.
+    /// The job failed for good; some tasks may have run.
     Failed,
-    /// Final failure; no task was started.
+    /// The job ended before any task was started, so it may be submitted again.
     NotRun,
 }
 
@@ -92,10 +92,10 @@
     /// The proposed owner is not a live instance; nothing changed.
     Refused(id::JobId, name::Member),
     /// The table already has the job; nothing changed.
-    Known(id::JobId, name::Member),
+    Duplicate(id::JobId, name::Member),
     /// The quota of the team is exhausted; nothing changed. The number is the time after which to
     /// retry, in milliseconds.
-    Limited(id::JobId, name::Member, u64),
+    QuotaExceeded(id::JobId, name::Member, u64),
     /// The job ended.
     Ended(id::JobId, Outcome),
     /// The set of live instances changed.
@@ -119,7 +119,7 @@
     /// Tokens left in the token bucket, in thousandths of a task.
     tokens: u64,
     /// Wall clock time of the last refill, in milliseconds. A debt moves it into the future.
-    refilled: u64,
+    refilled_at: u64,
 }
 
 impl Usage {
@@ -154,22 +154,22 @@
             }
             let debt = cost.saturating_sub(self.tokens);
             self.tokens = self.tokens.saturating_sub(cost);
-            self.refilled += debt / u64::from(claim.max_rate);
+            self.refilled_at += debt / u64::from(claim.max_rate);
         }
         self.in_flight += claim.tasks;
         Ok(())
     }
 
-    /// Returns the in-flight tasks of a claim to the quota.
+    /// Releases the in-flight tasks of a claim.
     pub fn release(&mut self, claim: &Claim) {
         self.in_flight = self.in_flight.saturating_sub(claim.tasks);
     }
 
     fn refill(&mut self, claim: &Claim) {
         let capacity = u64::from(claim.max_rate) * 1_000;
-        let elapsed = claim.time_ms.saturating_sub(self.refilled);
+        let elapsed = claim.time_ms.saturating_sub(self.refilled_at);
         self.tokens = capacity.min(self.tokens.saturating_add(elapsed * u64::from(claim.max_rate)));
-        self.refilled = self.refilled.max(claim.time_ms);
+        self.refilled_at = self.refilled_at.max(claim.time_ms);
     }
 }
 
@@ -232,7 +232,7 @@
         // A job that ended before any task was started may be submitted again.
         let existing = self.jobs.get(&job).filter(|entry| entry.outcome != Some(Outcome::NotRun));
         if existing.is_some() {
-            return Effect::Known(job, owner);
+            return Effect::Duplicate(job, owner);
         }
         if !self.live.contains(&owner) {
             return Effect::Refused(job, owner);
@@ -240,7 +240,7 @@
         if let Some(claim) = &claim {
             let usage = self.usage.entry(claim.account.clone()).or_default();
             if let Err(retry) = usage.charge(claim) {
-                return Effect::Limited(job, owner, retry);
+                return Effect::QuotaExceeded(job, owner, retry);
             }
         }
         let entry = Entry { digest, owner: Some(owner.clone()), claim, outcome: None };
@@ -299,7 +299,7 @@
     /// Removes ended jobs whose ids were created before `before` (milliseconds since the Unix
     /// epoch) and returns their number.
     ///
-    /// The caller must answer requests for ids that old without running the jobs.
+    /// The caller must answer submissions with ids older than that without running the jobs.
     pub fn prune(&mut self, before: u64) -> usize {
         self.pruned_before = self.pruned_before.max(before);
         // All ids of a journal have the same zone, so they are sorted by age.
--- a/crates/state/src/tree.rs
+++ b/crates/state/src/tree.rs
@@ -11,7 +11,7 @@
 /// day.
 pub const MAX_RECORDS: usize = 10_000;
 /// Maximum length of a path, in bytes.
-pub const MAX_PATH: usize = 256;
+pub const MAX_PATH_LEN: usize = 256;
 /// Maximum number of levels of a path.
 pub const MAX_LEVELS: usize = 8;
 
@@ -207,7 +207,7 @@
     }
 
     /// Returns whether any path allows its jobs to run in another zone.
-    pub fn any_cross_zone(&self) -> bool {
+    pub fn allows_cross_zone(&self) -> bool {
         let allows = |overrides: &Overrides| {
             overrides.get("cross_zone").is_some_and(|value| value == "true")
         };
@@ -232,7 +232,7 @@
     if path.is_empty() {
         return None;
     }
-    if path.len() > MAX_PATH {
+    if path.len() > MAX_PATH_LEN {
         return Some("the path is too long");
     }
     if path.split('/').count() > MAX_LEVELS {
@@ -246,15 +246,15 @@
 
 /// Returns the invalid keys of a change, each with the reason.
 pub fn value_errors(values: &serde_json::Map<String, Value>) -> Vec<(String, String)> {
-    let fault = |(name, value): (&String, &Value)| {
+    let error = |(name, value): (&String, &Value)| {
         let reason = match key::find(name) {
             None => Some("unknown key".to_owned()),
             Some(_) if value.is_null() => None,
-            Some(key) => key.fault(value),
+            Some(key) => key.value_error(value),
         };
         reason.map(|reason| (name.clone(), reason))
     };
-    values.iter().filter_map(fault).collect()
+    values.iter().filter_map(error).collect()
 }
 
 fn parent(path: &str) -> Option<&str> {
--- a/crates/state/src/upstream.rs
+++ b/crates/state/src/upstream.rs
@@ -20,7 +20,7 @@
 /// Resource capacity of an upstream, or resource needs of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Needs {
+pub struct Resources {
     /// CPU cores.
     pub cores: f64,
     /// Memory in megabytes.
@@ -29,7 +29,7 @@
     pub accelerators: u64,
 }
 
-impl Needs {
+impl Resources {
     /// Returns whether these resources fit into `capacity`.
     pub fn fits(&self, capacity: &Self) -> bool {
         self.cores <= capacity.cores
@@ -59,7 +59,7 @@
     /// Lifecycle phase.
     pub phase: Phase,
     /// Resource capacity of the upstream. `None`, if it declared none, means no limit.
-    pub capacity: Option<Needs>,
+    pub capacity: Option<Resources>,
     /// Sequence number of the announcement, so that a delayed announcement never replaces a newer
     /// one.
     pub sequence: u64,
--- a/crates/state/src/wal.rs
+++ b/crates/state/src/wal.rs
@@ -10,7 +10,7 @@
 
 const HEADER_LEN: usize = 12;
 /// Maximum size of the payload of a record, in bytes.
-pub const MAX_RECORD: usize = 64 << 20;
+pub const MAX_RECORD_LEN: usize = 64 << 20;
 
 /// An open log file, positioned at its end.
 #[derive(Debug)]
@@ -121,9 +121,13 @@
     Ok((replay, offset as u64))
 }
 
+/// Result of decoding one record.
 enum Decoded<'a> {
+    /// The payload of a valid record.
     Record(&'a [u8]),
+    /// An incomplete write at the end of the log.
     Torn,
+    /// A corrupt record, with the reason.
     Corrupt(&'static str),
 }
 
@@ -134,7 +138,7 @@
     }
     let word = |at: usize| u32::from_le_bytes([rest[at], rest[at + 1], rest[at + 2], rest[at + 3]]);
     let length = word(0) as usize;
-    if crc32fast::hash(&rest[..4]) != word(4) || length > MAX_RECORD {
+    if crc32fast::hash(&rest[..4]) != word(4) || length > MAX_RECORD_LEN {
         return Decoded::Corrupt("bad checksum of a record's length");
     }
     let Some(payload) = rest.get(HEADER_LEN..HEADER_LEN + length) else {
--- a/crates/state/tests/boot.rs
+++ b/crates/state/tests/boot.rs
@@ -14,9 +14,9 @@
 fn good_file() {
     let boot = Boot::parse(VALID).unwrap();
     assert_eq!(boot.instance.as_str(), "west-1");
-    assert!(boot.peers[0].disk);
-    assert_eq!(boot.log, boot::Log { level: boot::Level::Debug, form: boot::Form::Text });
-    assert_eq!(boot.drain_ms, boot::DRAIN_MS);
+    assert!(boot.peers[0].has_disk);
+    assert_eq!(boot.log, boot::Log { level: boot::Level::Debug, format: boot::Format::Text });
+    assert_eq!(boot.drain_ms, boot::DEFAULT_DRAIN_MS);
 }
 
 #[test]
--- a/crates/state/tests/journal.rs
+++ b/crates/state/tests/journal.rs
@@ -35,13 +35,13 @@
     table.apply(Command::Join(a.clone()));
     table.apply(Command::Join(b.clone()));
     assert_eq!(table.apply(admit(job(1), &a, None)), [Effect::Admitted(job(1), a.clone())]);
-    assert_eq!(table.apply(admit(job(1), &b, None)), [Effect::Known(job(1), b.clone())]);
+    assert_eq!(table.apply(admit(job(1), &b, None)), [Effect::Duplicate(job(1), b.clone())]);
     // Only the owner can end the job, and only once.
     let end = |owner: &Member, outcome| Command::End { job: job(1), owner: owner.clone(), outcome };
     assert_eq!(table.apply(end(&b, Outcome::Failed)), []);
     assert_eq!(table.apply(end(&a, Outcome::Complete)), [Effect::Ended(job(1), Outcome::Complete)]);
     assert_eq!(table.apply(end(&a, Outcome::Failed)), []);
-    assert_eq!(table.apply(admit(job(1), &b, None)), [Effect::Known(job(1), b)]);
+    assert_eq!(table.apply(admit(job(1), &b, None)), [Effect::Duplicate(job(1), b)]);
 }
 
 #[test]
@@ -97,7 +97,7 @@
         let effects = table.apply(admit(job(u128::from(step) + 1), &a, Some(claim(1, 0, 5, at))));
         match effects.as_slice() {
             [Effect::Admitted(..)] => admitted += 1,
-            [Effect::Limited(_, _, retry)] => assert!((1..=1_000).contains(retry), "{retry}"),
+            [Effect::QuotaExceeded(_, _, retry)] => assert!((1..=1_000).contains(retry), "{retry}"),
             other => panic!("{other:?}"),
         }
     }
--- a/crates/state/tests/tree.rs
+++ b/crates/state/tests/tree.rs
@@ -77,9 +77,9 @@
     ];
     for (name, value, valid) in cases {
         let value = serde_json::from_str(value).unwrap();
-        assert_eq!(key::find(name).unwrap().fault(&value).is_none(), valid, "{name} {value}");
+        assert_eq!(key::find(name).unwrap().value_error(&value).is_none(), valid, "{name} {value}");
     }
-    assert!(key::KEYS.iter().all(|key| key.fault(&key.default_value()).is_none()));
+    assert!(key::KEYS.iter().all(|key| key.value_error(&key.default_value()).is_none()));
 }
 
 #[test]
