--- a/crates/apricotroute/src/losses.rs
+++ b/crates/apricotroute/src/losses.rs
@@ -211,7 +211,7 @@
                 }
             }
             "job: Ended." => {
-                let tasks = timing::Breakdown::read(detail).into_iter().chain(self.breakdown);
+                let tasks = timing::Breakdown::parse(detail).into_iter().chain(self.breakdown);
                 self.breakdown = tasks.max_by_key(timing::Breakdown::whole);
             }
             "job: Handed over." => {
--- a/crates/apricotroute/src/node/control.rs
+++ b/crates/apricotroute/src/node/control.rs
@@ -154,7 +154,7 @@
                 metric::count_message(body.kind(), bytes.len());
                 self.batches.entry(to).or_default().push(bytes);
             }
-            Output::Redial(to) => self.work.push(Work::Redial(to)),
+            Output::Reconnect(to) => self.work.push(Work::Redial(to)),
             Output::Disconnect(to) => self.work.push(Work::Disconnect(to)),
             Output::Save(number, save) => self.saves.push((number, save)),
             Output::SaveKnown(known) => self.store(store::Write::Known(known)),
@@ -196,7 +196,7 @@
         if let Ok(mut current) = self.control.view.status.write() {
             *current = status;
         }
-        for room in self.core.rooms(self.control.clock.now()) {
+        for room in self.core.zone_loads(self.control.clock.now()) {
             let message::Load { free, total } = room.load;
             let detail = format!("{free}m of {total}m cores free, {} tasks wait", room.waiting);
             slog::info!(self.log, "zone: Room."; "id" => %room.zone, "detail" => detail);
--- a/crates/dispatch/src/active.rs
+++ b/crates/dispatch/src/active.rs
@@ -17,7 +17,7 @@
     Away,
 }
 
-/// Selects the waiting tasks that the scheduler gives back.
+/// Selects the waiting tasks that the scheduler returns to the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReturnScope {
     /// Waiting tasks that were never started.
@@ -56,11 +56,11 @@
     pub uncovered: smallvec::SmallVec<[u64; 2]>,
     /// Whether a task of the job may have been started, here or elsewhere.
     pub started: bool,
-    /// Number of the last hand-over of the job.
+    /// Number of the last handover of the job.
     pub number: u64,
-    /// Tasks that were part of that hand-over.
+    /// Tasks that were part of that handover.
     pub share: share::Share,
-    /// Whether the scheduler gives back tasks that cannot start at once.
+    /// Whether the scheduler returns tasks that cannot start at once.
     pub offer: bool,
     /// Breakdown of the time of the task that completed last.
     pub last_breakdown: Option<timing::Breakdown>,
@@ -93,12 +93,12 @@
             tasks,
             waiting: 0,
         };
-        active.take(handover);
+        active.add_handover(handover);
         active
     }
 
-    /// Adds the tasks of a hand-over; tasks that this scheduler has already keep their state.
-    pub fn take(&mut self, handover: &message::Handover) {
+    /// Adds the tasks of a handover; tasks that this scheduler has already keep their state.
+    pub fn add_handover(&mut self, handover: &message::Handover) {
         self.number = handover.number;
         self.share = handover.share.clone();
         self.offer = handover.offer;
@@ -113,11 +113,11 @@
         }
     }
 
-    /// Gives back waiting tasks and returns their numbers.
-    pub fn give_back(&mut self, which: ReturnScope) -> share::Tasks {
+    /// Marks the selected waiting tasks as away and lists their numbers.
+    pub fn mark_returned(&mut self, scope: ReturnScope) -> share::Tasks {
         let mut tasks = share::Tasks::new();
         for (state, index) in self.tasks.iter_mut().flatten().zip(0..) {
-            let selected = which == ReturnScope::Waiting || state.attempt == 0;
+            let selected = scope == ReturnScope::Waiting || state.attempt == 0;
             if state.phase == Phase::Waiting && selected {
                 state.phase = Phase::Away;
                 tasks.push(index);
@@ -127,7 +127,7 @@
         tasks
     }
 
-    /// Whether the waiting tasks may be given back: this holds for a job of one step, and for a job
+    /// Whether the waiting tasks may be returned: this holds for a job of one step, and for a job
     /// of several steps of which no task has started.
     pub fn is_movable(&self) -> bool {
         let is_unstarted = |task: &TaskState| task.phase == Phase::Waiting && task.attempt == 0;
@@ -146,9 +146,9 @@
     }
 
     /// Whether a run that another scheduler started may still be in progress, at an upstream that
-    /// has not answered yet (`unread`) or that is not known here.
-    pub fn is_blocked(&self, unread: bool, now: u64) -> bool {
-        let unsure = unread || !self.uncovered.is_empty();
+    /// has not answered yet (`has_unowned`) or that is not known here.
+    pub fn is_blocked(&self, has_unowned: bool, now: u64) -> bool {
+        let unsure = has_unowned || !self.uncovered.is_empty();
         self.job.resumed && unsure && now < self.runs_end
     }
 
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Tasks of the last hand-over that the scheduler has given back since.
-    pub fn given_back(&self) -> share::Tasks {
+    /// Tasks of the last handover that the scheduler has returned since.
+    pub fn returned(&self) -> share::Tasks {
         let states = self.tasks.iter().flatten().zip(0..);
         let away =
             states.filter(|(state, index)| state.phase == Phase::Away && self.share.has(*index));
@@ -172,7 +172,7 @@
 
     /// Tasks that this scheduler has.
     pub fn held(&self) -> share::Share {
-        let away = self.given_back();
+        let away = self.returned();
         let mut held = self.share.clone();
         if !away.is_empty() {
             held.remove(&away, self.job.count());
@@ -219,7 +219,7 @@
     }
 
     /// Changes the phase of a task and returns the former one.
-    pub fn set(&mut self, task: &job::Task, phase: Phase) -> Option<Phase> {
+    pub fn set_phase(&mut self, task: &job::Task, phase: Phase) -> Option<Phase> {
         let state = self.tasks.get_mut(task.step as usize)?.get_mut(task.index as usize)?;
         let former = std::mem::replace(&mut state.phase, phase);
         self.waiting -= u32::from(former == Phase::Waiting);
@@ -228,7 +228,7 @@
         Some(former)
     }
 
-    /// Looks up a task for changes.
+    /// Looks up a task for modification.
     pub fn task_mut(&mut self, task: &job::Task) -> Option<&mut TaskState> {
         self.tasks.get_mut(task.step as usize)?.get_mut(task.index as usize)
     }
--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -71,12 +71,12 @@
             // Another scheduler may have had the job in the meantime.
             active.job.resumed |= job.resumed;
             active.runs_end = active.runs_end.max(over);
-            active.take(&handover);
+            active.add_handover(&handover);
             active.uncovered.extend(handover.former);
             self.dirty = true;
             return;
         }
-        if let Some(refusal) = self.check(&job, &handover, now) {
+        if let Some(refusal) = self.arrival_refusal(&job, &handover, now) {
             let load = self.load(now);
             let detail = format!("{refusal:?}, {}m of {}m cores free", load.free, load.total);
             self.note("job: Refused.", &id, &detail);
@@ -97,7 +97,7 @@
     }
 
     /// Reason to refuse a job on arrival, if there is one.
-    pub(crate) fn check(
+    pub(crate) fn arrival_refusal(
         &self,
         job: &Job,
         handover: &message::Handover,
@@ -108,7 +108,7 @@
             return None;
         }
         let serves =
-            |session: &&Session| session.record.service == job.service && session.is_read();
+            |session: &&Session| session.record.service == job.service && session.is_owned();
         let mut known = self.sessions.values().filter(serves).peekable();
         if known.peek().is_some() {
             let fits = |need: &upstream::Room| {
@@ -122,7 +122,7 @@
             return None;
         }
         if now < self.since + SURVEY_TIMEOUT
-            && self.sessions.values().any(|session| !session.is_read())
+            && self.sessions.values().any(|session| !session.is_owned())
         {
             return None;
         }
@@ -133,7 +133,7 @@
 
     /// Attaches runs, and ends of runs, of a former scheduler to a job that was submitted again.
     pub(crate) fn adopt(&mut self, id: &name::Name, now: u64) {
-        self.orphans.retain(|task, _| task.job != *id);
+        self.orphan_runs.retain(|task, _| task.job != *id);
         let mut found = Vec::new();
         for (name, session) in &mut self.sessions {
             for (task, run) in session.runs.iter_mut().filter(|(task, _)| task.job == *id) {
@@ -155,7 +155,7 @@
                 if matches!(item.phase, Phase::Placed(_) | Phase::Away) {
                     duplicates.push((session, task));
                 } else {
-                    active.set(&task, Phase::Placed(session));
+                    active.set_phase(&task, Phase::Placed(session));
                 }
             }
         }
@@ -167,7 +167,7 @@
         if let Some(active) = self.jobs.get_mut(id) {
             for task in done {
                 if !active.is_away(&task) {
-                    active.set(&task, Phase::Done);
+                    active.set_phase(&task, Phase::Done);
                 }
             }
         }
@@ -198,9 +198,9 @@
         }
     }
 
-    /// Records that an entry still waits for these hand-overs of jobs, and returns those that this
+    /// Records that an entry still waits for these handovers of jobs, and returns those that this
     /// scheduler does not know. If the entry counts more tasks here than the scheduler has, the
-    /// message that gave them back was lost, and the scheduler gives them back again.
+    /// message that returned them was lost, and the scheduler returns them again.
     pub fn renew_awaited(
         &mut self,
         handovers: &[message::Awaited],
@@ -218,8 +218,8 @@
                     active.entry_clock = entry_clock;
                     active.entry = entry.clone();
                     if active.held().len(active.job.count()) < *count {
-                        let tasks = active.given_back();
-                        self.give_back(id, tasks, now);
+                        let tasks = active.returned();
+                        self.send_returned(id, tasks, now);
                     }
                 }
                 Some(_) => unknown.push(awaited.clone()),
@@ -235,7 +235,7 @@
     }
 }
 
-/// Whether an earlier decision on a job also answers this hand-over. A decision that no task was
+/// Whether an earlier decision on a job also answers this handover. A decision that no task was
 /// run does not, because another scheduler may have started tasks of the job since.
 fn is_answer(decision: &Decision, job: &Job, handover: &message::Handover) -> bool {
     match decision.verdict {
--- a/crates/dispatch/src/assignment.rs
+++ b/crates/dispatch/src/assignment.rs
@@ -4,7 +4,7 @@
 
 use crate::{claim, share, time, view::View};
 
-/// Largest number of former schedulers' sets of upstreams in a hand-over; a single [`UNKNOWN_SET`]
+/// Largest number of former schedulers' sets of upstreams in a handover; a single [`UNKNOWN_SET`]
 /// replaces more of them.
 const MAX_FORMER_SETS: usize = 4;
 /// A digest that matches no set: the next scheduler waits until no run of the former ones can be
@@ -14,18 +14,18 @@
 /// Tasks of a job that one scheduler has at a time.
 #[derive(Debug)]
 pub(crate) struct Assignment {
-    /// Number of the last hand-over, or a number that was never used; it is unique among the parts
+    /// Number of the last handover, or a number that was never used; it is unique among the parts
     /// of the job.
     pub(crate) number: u64,
     pub(crate) share: share::Share,
     pub(crate) claim: Option<claim::Claim>,
-    /// Time of the last message to the scheduler that the entry waits.
+    /// Time of the last message in which the entry informed the scheduler that it awaits the tasks.
     pub(crate) last_asked: u64,
     /// Whether the tasks were handed over to a scheduler that may have started some of them.
     pub(crate) handed_over: bool,
     /// Whether another scheduler may have started some of the tasks.
     pub(crate) resumed: bool,
-    /// Whether the scheduler does not know the hand-over.
+    /// Whether the scheduler does not know the handover.
     pub(crate) disowned: bool,
     /// Digest of the upstreams that the scheduler reported last.
     pub(crate) last_digest: u64,
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Due {
     Nothing,
-    /// The entry has to tell the scheduler that it waits.
+    /// The entry has to inform the scheduler that it still awaits the tasks.
     Refresh,
     /// The entry has to hand the tasks over.
     HandOver,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Records that the scheduler gave all tasks back and that none of them runs there.
-    pub(crate) fn returned(&mut self) {
+    /// Records that the scheduler returned all tasks and that none of them runs there.
+    pub(crate) fn mark_returned(&mut self) {
         if let Some(claim) = self.claim.take() {
             self.full_zones.push(claim.zone);
         }
@@ -133,7 +133,7 @@
         self.handed_over = self.resumed;
     }
 
-    /// Creates a separate assignment for tasks of this one that their scheduler gave back.
+    /// Creates a separate assignment for tasks of this one that their scheduler returned.
     pub(crate) fn split(&self, number: u64, tasks: share::Tasks, now: u64) -> Self {
         let mut full_zones = self.full_zones.clone();
         full_zones.extend(self.claim.as_ref().map(|claim| claim.zone.clone()));
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Time since the last message to a scheduler of the tasks that the entry waits, milliseconds.
+    /// Time since the entry last informed a scheduler that it awaits the tasks, milliseconds.
     pub(crate) fn since_asked(&self, now: u64) -> u64 {
         now.saturating_sub(self.last_asked) / time::MS
     }
--- a/crates/dispatch/src/call_timeout.rs
+++ b/crates/dispatch/src/call_timeout.rs
@@ -16,7 +16,8 @@
 const TIMEOUT_FACTOR: u64 = 2;
 /// Length of a window, microseconds; answers and losses of the last one or two windows count.
 const WINDOW: u64 = 1_000 * time::MS;
-/// From this many lost calls on, calls count as lost; with fewer, some upstreams count as gone.
+/// Minimum number of lost calls for losses to count as frequent; fewer may come from upstreams that
+/// are gone.
 const MIN_LOST: u32 = 4;
 /// Losses are frequent when at least one call in this many was lost.
 const CALLS_PER_LOSS: u32 = 50;
@@ -39,20 +40,20 @@
 
 impl CallTimeout {
     /// Records an answer after `took` microseconds; 0 if the time says nothing about the link.
-    pub fn answered(&mut self, took: u64, now: u64) {
+    pub fn record_answer(&mut self, took: u64, now: u64) {
         let window = self.window(now);
         window.slowest = window.slowest.max(took);
         window.answered += 1;
     }
 
-    /// Records a lost call: the upstream answers the next one.
-    pub fn lost(&mut self, now: u64) {
+    /// Records a lost call, which the upstream did not answer although it answers the next one.
+    pub fn record_loss(&mut self, now: u64) {
         self.window(now).lost += 1;
     }
 
     /// Records that an order which timed out had been carried out in time, and only its answer was
     /// late.
-    pub fn late(&mut self, now: u64) {
+    pub fn record_late_answer(&mut self, now: u64) {
         let window = self.window(now);
         window.slowest = window.slowest.max(MAX_TIMEOUT * time::MS);
     }
--- a/crates/dispatch/src/capacity_limit.rs
+++ b/crates/dispatch/src/capacity_limit.rs
@@ -25,14 +25,14 @@
 
 impl CapacityLimit {
     /// Records the refusal of a task with which the runs there would have taken `cpu`.
-    pub fn refused(&mut self, cpu: u64, now: u64) {
+    pub fn record_refusal(&mut self, cpu: u64, now: u64) {
         self.refused_cpu = cpu;
         self.until = now + (INITIAL_PERIOD << self.doublings);
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
     }
 
     /// Records the start of a task with which the runs there take `cpu`.
-    pub fn taken(&mut self, cpu: u64) {
+    pub fn record_start(&mut self, cpu: u64) {
         if cpu >= self.refused_cpu {
             *self = Self::default();
         }
--- a/crates/dispatch/src/compression.rs
+++ b/crates/dispatch/src/compression.rs
@@ -1,4 +1,4 @@
-//! Compression of the configuration's text.
+//! Compression of the text of the configuration.
 //!
 //! Every instance receives each version, and keepers store it.
 
@@ -14,7 +14,7 @@
 /// Error for input that cannot be decompressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The input is no output of [`compress`].
+    /// The input is not the output of [`compress`].
     Broken,
     /// The text is larger than 64 MB.
     TooLong,
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the input is no output of [`compress`], or if the text is too large.
+/// Fails if the input is not the output of [`compress`], or if the text is too large.
 ///
 /// ```
 /// use dispatch::compression;
--- a/crates/dispatch/src/control_log.rs
+++ b/crates/dispatch/src/control_log.rs
@@ -180,7 +180,7 @@
     min_version: Option<u64>,
 }
 
-/// Effects of the calls since the last [`ControlLog::take`].
+/// Effects of the calls since the last [`ControlLog::take_output`].
 #[derive(Debug, Default)]
 pub struct Output {
     /// Messages to other instances.
@@ -242,7 +242,7 @@
     }
 
     /// Takes the effects collected so far.
-    pub fn take(&mut self) -> Output {
+    pub fn take_output(&mut self) -> Output {
         let group = self.group.take_output();
         let sends = group.sends.into_iter().map(|(to, body)| (to, Body::Agree(Box::new(body))));
         self.out.sends.extend(sends);
@@ -357,7 +357,7 @@
     }
 
     /// Handles that the changes up to this number are on disk.
-    pub fn saved(&mut self, number: u64, now: u64) {
+    pub fn on_saved(&mut self, number: u64, now: u64) {
         self.group.on_saved(number, now);
         self.answer_queries(now);
     }
--- a/crates/dispatch/src/core.rs
+++ b/crates/dispatch/src/core.rs
@@ -38,7 +38,7 @@
 /// Configuration of one instance.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This instance.
+    /// Identity of this instance.
     pub me: member::Card,
     /// Addresses of the instances to contact first.
     pub seeds: Vec<name::Name>,
@@ -157,7 +157,7 @@
             Event::Peer(from, body) => self.on_peer(&from, body, true, now),
             Event::Saved(number) => {
                 if let Some(control_log) = &mut self.control_log {
-                    control_log.saved(number, now.mono);
+                    control_log.on_saved(number, now.mono);
                 }
             }
             Event::Submit(ticket, job) => {
@@ -166,7 +166,7 @@
             }
             Event::Disconnected(ticket) => self.submissions.disconnect(ticket),
             Event::Announce(ticket, record) => self.announce(ticket, &record, now),
-            Event::UnknownService(ticket, record) => self.unlisted(ticket, &record, now),
+            Event::UnknownService(ticket, record) => self.announce_unlisted(ticket, &record, now),
             Event::RejectedAnnouncement(id, why) => self.note(ANNOUNCEMENT_REFUSED, &id, why),
             Event::Withdraw(ticket, id) => self.withdraw(ticket, &id, now),
             Event::Publish(ticket, document) => match &mut self.control_log {
@@ -217,7 +217,7 @@
         self.scheds_mut().for_each(sched::Sched::drop_all);
         let me = self.membership.me().name.clone();
         self.note(
-            "node: Was stopped, trusting nobody until heard again.",
+            "node: Resumed after a stop, treating all other instances as silent.",
             &me,
             elapsed.to_string(),
         );
@@ -258,7 +258,7 @@
         self.scheds().map(sched::Sched::jobs).sum()
     }
 
-    /// The evacuated zones that this instance knows of.
+    /// The evacuated zones that this instance knows.
     pub fn evacuations(&self) -> &evacuation::Evacuations {
         &self.evacuations
     }
@@ -277,10 +277,10 @@
             table.get(id).is_none_or(|known| known.phase == upstream::Phase::Gone)
         };
         self.zones.values_mut().for_each(|zone| zone.drop_lingering(is_gone));
-        self.remember(now);
-        for name in self.membership.streams_to_redial(now.mono) {
-            self.note("peer: Nothing comes back, dialling anew.", &name, String::new());
-            self.out.push(Output::Redial(name));
+        self.save_known(now);
+        for name in self.membership.streams_to_reconnect(now.mono) {
+            self.note("peer: No answer on the stream, reconnecting.", &name, String::new());
+            self.out.push(Output::Reconnect(name));
         }
         for name in self.membership.forget(now.mono) {
             self.note("peer: Forgotten.", &name, String::new());
@@ -311,7 +311,7 @@
     }
 
     /// Saves the known upstreams and instances, on an instance with a disk.
-    fn remember(&mut self, now: Now) {
+    fn save_known(&mut self, now: Now) {
         let (former, at) = self.last_save;
         let digest = self.table.changes() ^ self.membership.digest();
         if self.control_log.is_some() && now.mono >= at + SAVE_INTERVAL && digest != former {
@@ -323,7 +323,7 @@
     }
 
     pub(crate) fn announce(&mut self, ticket: Ticket, record: &upstream::Record, now: Now) {
-        if let Some(merged) = self.table.take(record.clone()) {
+        if let Some(merged) = self.table.merge(record.clone()) {
             let detail = format!("{:?} at {} in {}", record.phase, record.address, record.zone);
             self.note("upstream: Announced.", &record.id, detail);
             self.send_record(&merged, now);
@@ -335,7 +335,12 @@
     /// it if the upstream is already known to belong to that service: a change may have removed the
     /// service, and the upstream may be leaving. Rejects it otherwise, since the announcement may
     /// come from another writer. If the service is added later, the next announcement is accepted.
-    pub(crate) fn unlisted(&mut self, ticket: Ticket, record: &upstream::Record, now: Now) {
+    pub(crate) fn announce_unlisted(
+        &mut self,
+        ticket: Ticket,
+        record: &upstream::Record,
+        now: Now,
+    ) {
         if self.table.get(&record.id).is_some_and(|held| held.service == record.service) {
             return self.announce(ticket, record, now);
         }
@@ -381,7 +386,7 @@
             self.apply_findings(&zone, now);
             self.apply_output(&zone, now);
         }
-        let submissions = self.submissions.take();
+        let submissions = self.submissions.take_output();
         for (to, body) in submissions.sends {
             if let Body::Submit(_, job, _) = &body {
                 self.send_former_losses(&to, &job.id, now);
@@ -394,7 +399,7 @@
             self.reply(ticket, Reply::Verdict(verdict));
         }
         if let Some(control_log) = &mut self.control_log {
-            let out = control_log.take();
+            let out = control_log.take_output();
             for (to, body) in out.sends {
                 self.send(&to, body, now);
             }
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -2,8 +2,8 @@
 //!
 //! A digest identifies a set of upstreams. A scheduler starts an entry's tasks only at upstreams of
 //! a set whose digest the entry has sent to it. The entry passes that digest on when it hands the
-//! job over to another scheduler, which can so tell whether it knows every upstream where a task
-//! may run.
+//! job over to another scheduler, which can thus determine whether it knows every upstream where a
+//! task may run.
 
 use std::collections;
 
@@ -34,7 +34,7 @@
         self.update_digest(id);
     }
 
-    /// Removes an upstream. Without `last`, tasks that other instances know of may still run there:
+    /// Removes an upstream. Without `last`, tasks that other instances know may still run there:
     /// no former set that contains it counts as covered any more.
     pub fn remove(&mut self, id: &name::Name, last: bool) {
         if self.added.remove(id).is_none() {
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -50,7 +50,7 @@
     /// instances, 123 instances would have 15,000 streams.
     Send(name::Name, message::Body),
     /// Reconnect the stream to an instance.
-    Redial(name::Name),
+    Reconnect(name::Name),
     /// Close the stream to an instance.
     Disconnect(name::Name),
     /// Write a change of the replicated configuration to disk.
--- a/crates/dispatch/src/fetch.rs
+++ b/crates/dispatch/src/fetch.rs
@@ -28,7 +28,7 @@
 /// failed to answer.
 const INLINE_TRIED: usize = 4;
 
-/// Result of taking a part.
+/// Result of adding a part to a download.
 #[derive(Debug, PartialEq)]
 pub enum Progress {
     /// The configuration is incomplete; the next part has to be requested.
@@ -99,8 +99,8 @@
         Some(((*source).clone(), self.next_request()))
     }
 
-    /// Takes a part from `from`.
-    pub fn take(&mut self, from: &name::Name, part: &Part, now: u64) -> Progress {
+    /// Adds a part that `from` sent.
+    pub fn add_part(&mut self, from: &name::Name, part: &Part, now: u64) -> Progress {
         if part.version > self.version && part.offset == 0 {
             *self = Self { version: part.version, ..Self::default() };
         }
--- a/crates/dispatch/src/handback.rs
+++ b/crates/dispatch/src/handback.rs
@@ -1,4 +1,4 @@
-//! Tasks that a scheduler gives back to their entries: offered tasks without room, and waiting
+//! Tasks that a scheduler returns to their entries: offered tasks without room, and waiting
 //! tasks of an evacuated zone.
 
 use state::name;
@@ -18,29 +18,30 @@
         self.evacuated = evacuated;
     }
 
-    /// Gives back the offered tasks that could not start.
+    /// Returns the offered tasks that could not start to their entries.
     pub(crate) fn return_offers(&mut self, now: u64) {
         for id in std::mem::take(&mut self.offers) {
             let Some(active) = self.jobs.get_mut(&id) else { continue };
             if !std::mem::take(&mut active.offer) {
                 continue;
             }
-            let tasks = active.give_back(active::ReturnScope::Unstarted);
+            let tasks = active.mark_returned(active::ReturnScope::Unstarted);
             self.return_tasks(&id, tasks, now);
         }
     }
 
-    /// Gives back the waiting tasks, so that other zones run them. Tasks that a former scheduler
-    /// may have started stay until that is known, and running tasks continue to their end.
+    /// Returns the waiting tasks to their entries, so that other zones run them. Tasks that a
+    /// former scheduler may have started stay until that is known, and running tasks continue to
+    /// their end.
     pub(crate) fn return_all(&mut self, now: u64) {
-        let unread = self.sessions.values().any(|session| !session.is_read());
+        let has_unowned = self.sessions.values().any(|session| !session.is_owned());
         let is_returnable =
-            |active: &ActiveJob| active.waiting() > 0 && !active.is_blocked(unread, now);
+            |active: &ActiveJob| active.waiting() > 0 && !active.is_blocked(has_unowned, now);
         let returnable = self.jobs.iter().filter(|(_, active)| is_returnable(active));
         for id in returnable.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             let Some(active) = self.jobs.get_mut(&id) else { continue };
             if active.is_movable() {
-                let tasks = active.give_back(active::ReturnScope::Waiting);
+                let tasks = active.mark_returned(active::ReturnScope::Waiting);
                 self.return_tasks(&id, tasks, now);
             } else if !active.is_running() {
                 self.note("job: Given up, its zone is evacuated between its steps.", &id, "");
@@ -51,7 +52,7 @@
 
     fn return_tasks(&mut self, id: &name::Name, tasks: share::Tasks, now: u64) {
         if !tasks.is_empty() {
-            self.give_back(id, tasks, now);
+            self.send_returned(id, tasks, now);
         }
         if self.jobs.get(id).is_some_and(|active| active.held().is_empty()) {
             self.drop_job(id);
@@ -59,8 +60,8 @@
         self.finish_if_complete(id, now);
     }
 
-    /// Gives tasks of a job back to its entry.
-    pub(crate) fn give_back(&mut self, id: &name::Name, tasks: share::Tasks, now: u64) {
+    /// Sends returned tasks of a job to its entry.
+    pub(crate) fn send_returned(&mut self, id: &name::Name, tasks: share::Tasks, now: u64) {
         let load = self.load(now);
         let Some(active) = self.jobs.get(id) else { return };
         let (entry, number) = (active.entry.clone(), active.number);
@@ -73,7 +74,7 @@
             load.total
         );
         self.note("job: Gave tasks back.", id, &detail);
-        let spare = message::ReturnedTasks { number, tasks, load, may_have_started };
-        self.out.spares.push((entry, id.clone(), spare));
+        let returned = message::ReturnedTasks { number, tasks, load, may_have_started };
+        self.out.returned.push((entry, id.clone(), returned));
     }
 }
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -4,7 +4,7 @@
 
 /// Number of most recent runs that count.
 const WINDOW: u32 = 8;
-/// Number of bad results in the window that eject an upstream. A single one also occurs at healthy
+/// Number of failures in the window that eject an upstream. A single one also occurs at healthy
 /// upstreams: a task fails by its own fault about once in 500 runs.
 const EJECT_THRESHOLD: u32 = 2;
 /// Length of the first ejection, microseconds; it doubles with each further one.
@@ -15,7 +15,7 @@
 /// Recent results of an upstream's runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    /// Results of the last runs, one bit each, the newest lowest; 1 is a bad end.
+    /// Results of the last runs, one bit each, the newest lowest; 1 is a failed or hung run.
     results: u32,
     recorded: u32,
     ejected_until: u64,
@@ -61,13 +61,13 @@
         self.trial
     }
 
-    /// Whether a recent run ended badly.
+    /// Whether a recent run failed or made no progress.
     pub fn is_suspected(&self) -> bool {
         self.results != 0
     }
 
-    fn record(&mut self, bad: bool) {
-        self.results = (self.results << 1 | u32::from(bad)) & ((1 << WINDOW) - 1);
+    fn record(&mut self, failed: bool) {
+        self.results = (self.results << 1 | u32::from(failed)) & ((1 << WINDOW) - 1);
         self.recorded += 1;
     }
 }
--- a/crates/dispatch/src/leadership.rs
+++ b/crates/dispatch/src/leadership.rs
@@ -15,11 +15,11 @@
 
 /// An instance that starts waits this long for news of an existing scheduler, microseconds.
 /// Instances answer first heartbeats at once: that takes some 30 ms, and 130 ms where a stream has
-/// to be dialled twice. After a loss of the whole system no instance serves clients in this time.
+/// to be opened twice. After a loss of the whole system no instance serves clients in this time.
 const STARTUP_WAIT: u64 = 150 * time::MS;
 /// An entry that starts without a configuration, or without knowing an upstream, could not serve
 /// any client, and has not met an instance that could inform it. An entry that has too little
-/// processor time for its zone serves it badly. Both let keepers claim first for this long,
+/// CPU time for its zone serves it badly. Both let keepers claim first for this long,
 /// microseconds: after a power loss of the whole system entries are back up to 400 ms before the
 /// keepers.
 const UNFIT_WAIT: u64 = 1_000 * time::MS;
@@ -27,7 +27,7 @@
 /// holder's heartbeats do not arrive yet: two heartbeats. Without this time instances that start
 /// together would outbid one another's claims before they have met.
 const CLAIM_GRACE: u64 = 300 * time::MS;
-/// [`CLAIM_GRACE`] of an entry that has too little processor time for the zone, microseconds: after
+/// [`CLAIM_GRACE`] of an entry that has too little CPU time for the zone, microseconds: after
 /// a restart of the whole system such an entry met the keeper of its zone 330 ms after it had
 /// received that keeper's claim.
 const LOW_CAPACITY_GRACE: u64 = 1_000 * time::MS;
@@ -43,7 +43,7 @@
 /// partitions.
 const STAND_DOWN_TIME: u64 = 10_000 * time::MS;
 /// A keeper reclaims its zone from an entry after it has received the entry's heartbeats for this
-/// long, microseconds: entries have a third of a keeper's processor time, and clients of their own.
+/// long, microseconds: entries have a third of a keeper's CPU time, and clients of their own.
 /// Without the delay a keeper whose connection comes and goes would cost the zone a takeover (some
 /// 50 ms) each time.
 const RECLAIM_DELAY: u64 = 1_000 * time::MS;
@@ -54,7 +54,7 @@
 /// differ by less.
 const EPOCH_JUMP: u64 = 60_000;
 
-/// What decides whether an instance may claim its zone, and how soon.
+/// State of an instance that decides whether, and how soon, it may claim its zone.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// Whether it schedules the zone already.
@@ -62,18 +62,18 @@
     /// Whether it has a configuration and knows an upstream of the zone: without both there is
     /// nothing to schedule.
     pub equipped: bool,
-    /// Whether scheduling the zone would take more processor time than it has.
+    /// Whether scheduling the zone would take more CPU time than it has.
     pub low_capacity: bool,
 }
 
-/// What an instance records to decide when it claims a zone.
+/// Times that an instance records to decide when to claim a zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct Candidacy {
-    /// Since when this instance has received no heartbeats of a scheduler of the zone.
+    /// Time since which this instance has received no heartbeats of a scheduler of the zone.
     vacant_since: Option<u64>,
-    /// Since when the scheduler of the zone is an instance that is not a keeper of it.
-    lent_since: Option<u64>,
-    /// Until when this instance does not claim the zone.
+    /// Time since which the scheduler of the zone is an instance that is not a keeper of it.
+    foreign_since: Option<u64>,
+    /// Time until which this instance does not claim the zone.
     blocked_until: u64,
     /// When this instance received the highest claim.
     claim_received: Option<u64>,
@@ -114,7 +114,7 @@
     /// With the schedulers of all zones, the number of heartbeats would grow with the product of
     /// zones and instances. If its own zone is evacuated the instance needs the room of all other
     /// zones.
-    pub fn monitored<'a>(
+    pub fn watched<'a>(
         &'a self,
         zone: &'a name::Name,
         evacuations: &'a evacuation::Evacuations,
@@ -165,7 +165,7 @@
         }
         let vacant = *candidacy.vacant_since.get_or_insert(now.mono);
         let isolated = if membership.is_cut_off(now.mono) { ISOLATED_DELAY } else { 0 };
-        // A keeper of another zone has more processor time to spare, so it may claim first.
+        // A keeper of another zone has more CPU time to spare, so it may claim first.
         let capacity_delay = if entry && candidate.low_capacity { RANK_DELAY } else { 0 };
         if now.mono < vacant + rank_delay(membership, now.mono) + isolated + capacity_delay {
             return None;
@@ -211,7 +211,7 @@
     /// another zone has scheduled the zone for at least [`RECLAIM_DELAY`].
     fn is_reclaim_due(&mut self, membership: &membership::Membership, now: u64) -> bool {
         let me = membership.me();
-        let lent = self.of(&me.zone).is_some_and(|claim| {
+        let foreign = self.of(&me.zone).is_some_and(|claim| {
             let card = membership.peer(&claim.holder).and_then(|peer| peer.card.as_ref());
             membership.is_direct(&claim.holder, now)
                 && membership.is_holder_alive(claim, now)
@@ -219,14 +219,14 @@
         });
         let first = membership.zone_peers(now).all(|card| card.rank() > me.rank());
         let candidacy = self.candidacy(&me.zone);
-        if me.role != member::Role::Keeper || !lent || !first {
-            candidacy.lent_since = None;
+        if me.role != member::Role::Keeper || !foreign || !first {
+            candidacy.foreign_since = None;
             return false;
         }
-        let since = *candidacy.lent_since.get_or_insert(now);
+        let since = *candidacy.foreign_since.get_or_insert(now);
         let due = now >= (since + RECLAIM_DELAY).max(candidacy.blocked_until);
         if due {
-            candidacy.lent_since = None;
+            candidacy.foreign_since = None;
         }
         due
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -14,7 +14,7 @@
 //!   their tasks run.
 //! - [`submissions`] and [`share`]: the entry's side of a job, and which scheduler has which of its
 //!   tasks.
-//! - [`status`]: the figures of an instance for monitoring.
+//! - [`status`]: the status of an instance for monitoring.
 //! - [`control_log`], [`fetch`], [`compression`] and [`routing`]: the replicated configuration, its
 //!   distribution to all instances, and the routing of requests by it.
 //! - [`evacuation`]: the zones where no task starts until the operator ends the evacuation.
--- a/crates/dispatch/src/membership.rs
+++ b/crates/dispatch/src/membership.rs
@@ -41,7 +41,7 @@
     pub(crate) peers: collections::BTreeMap<name::Name, Peer>,
     tombstones: collections::BTreeMap<name::Name, u64>,
     distrust_until: u64,
-    /// When this instance last found that its clock had stood still.
+    /// When this instance last found that its clock had been stopped.
     clock_resumed: u64,
     next_heartbeat: u64,
     digest: u64,
@@ -135,7 +135,7 @@
     }
 
     /// Upper bound on what the clock of a live instance shows now, microseconds. With it the age of
-    /// a message follows from the sender's time stamp. The last heartbeat would not do as the
+    /// a message follows from the sender's time stamp. The last heartbeat cannot serve as the
     /// reference: where all messages of the instance wait for seconds, it is as old as the rest.
     pub fn clock(&self, name: &name::Name, now: u64) -> Option<u64> {
         if *name == self.me.name {
@@ -146,7 +146,7 @@
     }
 
     /// Summary of the last heartbeat from an instance, to be sent back to it.
-    pub fn last_heartbeat(&self, name: &name::Name) -> Option<message::Heard> {
+    pub fn last_heartbeat(&self, name: &name::Name) -> Option<message::HeartbeatAck> {
         let peer = self.peers.get(name)?;
         let ping = peer.ping.as_ref()?;
         let (incarnation, clock, upstreams) = (ping.card.incarnation, ping.clock, ping.upstreams);
@@ -155,7 +155,7 @@
             .iter()
             .map(|adopted_zone| (adopted_zone.zone.clone(), adopted_zone.upstreams))
             .collect();
-        Some(message::Heard { incarnation, clock, at: peer.read, upstreams, adopted })
+        Some(message::HeartbeatAck { incarnation, clock, at: peer.read, upstreams, adopted })
     }
 
     /// Whether heartbeats to and from the instance arrive without a relay.
@@ -220,9 +220,9 @@
             peer.clock_bound = None;
         }
         peer.read = now;
-        let proof = ping.heard.as_ref().filter(|heard| {
-            heard.incarnation == self.me.incarnation
-                && (self.clock_resumed..=now).contains(&heard.clock)
+        let proof = ping.ack.as_ref().filter(|ack| {
+            ack.incarnation == self.me.incarnation
+                && (self.clock_resumed..=now).contains(&ack.clock)
         });
         peer.update_bound(proof, ping.clock, now);
         let trusted = now >= self.distrust_until;
@@ -239,7 +239,7 @@
             peer.direct_at = now;
             if ping.echo {
                 let former = std::mem::replace(&mut peer.echo_at, now);
-                self.redial_budget.answered(&mut peer.stream, former, now);
+                self.redial_budget.record_answer(&mut peer.stream, former, now);
             }
         }
         peer.card = Some(ping.card.clone());
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Handles that this instance's clock stood still until now: the bounds on the clocks of other
+    /// Handles that this instance's clock was stopped until now: the bounds on the clocks of other
     /// instances are invalid, and so are their reports of earlier heartbeats of this one.
     pub fn reset_clocks(&mut self, now: u64) {
         self.clock_resumed = now;
@@ -273,7 +273,7 @@
 
     /// Raises this instance's incarnation above any that other instances know or have forgotten,
     /// and returns whether that was necessary: the time of day was set back since the former
-    /// incarnation began, or this instance stood still for so long that the others have forgotten
+    /// incarnation began, or this instance was stopped for so long that the others have forgotten
     /// it and would not accept it.
     pub fn raise_incarnation(
         &mut self,
@@ -370,22 +370,22 @@
         self.digest = hashes.fold(one(&self.me.name, self.me.incarnation), |sum, hash| sum ^ hash);
         self.watch_list = watch_list::WatchList::new(others().chain([&self.me]));
         for peer in self.peers.values_mut() {
-            let linked =
-                peer.card.as_ref().is_none_or(|card| self.watch_list.linked(&self.me, card));
-            let was_linked = std::mem::replace(&mut peer.linked, linked);
-            if linked && !was_linked {
+            let is_linked =
+                peer.card.as_ref().is_none_or(|card| self.watch_list.is_linked(&self.me, card));
+            let was_linked = std::mem::replace(&mut peer.is_linked, is_linked);
+            if is_linked && !was_linked {
                 // The time of its silence counts from now.
                 peer.since = now;
             }
         }
     }
 
-    /// Whether the watch list says that this instance monitors the instance of `card`.
+    /// Whether the watch list says that this instance watches the instance of `card`.
     pub(crate) fn is_watched(&self, card: &member::Card) -> bool {
         self.watch_list.watches(&self.me, card, self.window.size())
     }
 
-    /// Whether there are so few instances that each monitors all instances of its zone and all
+    /// Whether there are so few instances that each watches all instances of its zone and all
     /// keepers.
     pub fn is_small(&self) -> bool {
         self.watch_list.is_small()
@@ -396,7 +396,7 @@
         self.watch_list.receives_records(card, zone)
     }
 
-    /// Monitors more instances of the zone while the zone has no known scheduler. `leads` says that
+    /// Watches more instances of the zone while the zone has no known scheduler. `leads` says that
     /// this instance schedules it.
     pub fn update_window(&mut self, leads: bool, led: bool, now: u64) {
         let knows = leads || self.me.role == member::Role::Keeper;
@@ -433,7 +433,7 @@
         if now < self.next_heartbeat {
             return Vec::new();
         }
-        // All heartbeats go at once: one wake-up of the sender serves them all.
+        // All heartbeats are sent together: one wake-up of the sender serves them all.
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let mut due = Vec::new();
         for (name, peer) in &mut self.peers {
@@ -460,16 +460,16 @@
             .is_some_and(|peer| peer.direct_at > 0 && now < peer.direct_at + SILENCE_TIMEOUT)
     }
 
-    /// Instances whose streams seem dead and may be dialled again now.
-    pub fn streams_to_redial(&mut self, now: u64) -> Vec<name::Name> {
+    /// Instances whose streams seem dead and may be reconnected now.
+    pub fn streams_to_reconnect(&mut self, now: u64) -> Vec<name::Name> {
         self.redial_budget.refill(now);
         let own = name_hash(&self.me.name);
-        let streams = || self.peers.values().filter_map(|peer| peer.answered(now));
+        let streams = || self.peers.values().filter_map(|peer| peer.last_answer(now));
         let silent = streams().filter(|answered| redial::is_silent(*answered, now)).count();
         let most = silent * 2 >= streams().count();
         let mut dead = Vec::new();
         for (name, peer) in &mut self.peers {
-            let Some(answered) = peer.answered(now) else { continue };
+            let Some(answered) = peer.last_answer(now) else { continue };
             if peer.stream.is_due(answered, most, name_hash(name) ^ own, now)
                 && self.redial_budget.spend(&mut peer.stream, now)
             {
@@ -479,18 +479,18 @@
         dead
     }
 
-    /// How many times streams were dialled again so far.
+    /// Number of reconnects of streams so far.
     pub fn redials(&self) -> u64 {
         self.redial_budget.count()
     }
 
-    /// Forgets monitored instances that have been silent for `FORGET_AFTER`, and returns their
-    /// names. The loss of instances that this one does not monitor comes from the lists of others.
+    /// Forgets watched instances that have been silent for `FORGET_AFTER`, and returns their
+    /// names. The loss of instances that this one does not watch comes from the lists of others.
     pub fn forget(&mut self, now: u64) -> Vec<name::Name> {
         let seeds = &self.seeds;
         let gone = |(name, peer): (&name::Name, &Peer)| {
             let last = peer.heartbeat_at.max(peer.since).max(self.distrust_until);
-            let due = now >= last + FORGET_AFTER && peer.linked && !seeds.contains(name);
+            let due = now >= last + FORGET_AFTER && peer.is_linked && !seeds.contains(name);
             due.then(|| name.clone())
         };
         let gone: Vec<_> = self.peers.iter().filter_map(gone).collect();
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -38,7 +38,7 @@
     Unknown(name::Name, u64),
     /// The outcome of the tasks of a job that the scheduler had.
     Verdict(name::Name, Box<Decision>),
-    /// The scheduler won't start these tasks of a job unless the entry submits them again.
+    /// The scheduler will not start these tasks of a job unless the entry submits them again.
     Spare(name::Name, ReturnedTasks),
     /// Lost upstreams, and the tasks that may have been running there.
     Lost(Vec<suspect::Loss>),
@@ -58,10 +58,10 @@
     pub count: u32,
 }
 
-impl Heard {
+impl HeartbeatAck {
     /// Returns the digest of the upstreams of a zone in that heartbeat; `own` is the receiver's
     /// zone.
-    pub fn set(&self, zone: &name::Name, own: &name::Name) -> Option<u64> {
+    pub fn digest_of(&self, zone: &name::Name, own: &name::Name) -> Option<u64> {
         if zone == own {
             return Some(self.upstreams);
         }
@@ -102,7 +102,7 @@
     /// Whether the sender has recently received a heartbeat directly from the receiver.
     pub echo: bool,
     /// The receiver's last heartbeat that the sender received.
-    pub heard: Option<Heard>,
+    pub ack: Option<HeartbeatAck>,
     /// Digest of the upstreams of the sender's zone that it knows ([`crate::directory`]).
     pub upstreams: u64,
     /// Whether it carries news that should not be delayed.
@@ -136,7 +136,7 @@
 
 /// Facts from the last heartbeat that the sender of this one received from its receiver.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Heard {
+pub struct HeartbeatAck {
     /// The receiver's incarnation.
     pub incarnation: u64,
     /// The receiver's monotonic clock in that heartbeat, in microseconds.
@@ -179,7 +179,8 @@
     /// Last reported digests of the schedulers that had these tasks before: the tasks run only at
     /// upstreams of these sets.
     pub former: smallvec::SmallVec<[u64; 2]>,
-    /// Time since the entry last told one of these schedulers that it waits, in milliseconds.
+    /// Time since the entry last informed one of these schedulers that it awaits the tasks, in
+    /// milliseconds.
     pub release_age: u64,
 }
 
--- a/crates/dispatch/src/outcome.rs
+++ b/crates/dispatch/src/outcome.rs
@@ -10,7 +10,7 @@
     event,
     job::{Task, Verdict},
     order::{End, Ended, Outcome, Reason, Running},
-    sched::{Sched, Sent},
+    sched::{CallPurpose, Sched},
     session::{Run, Stage},
     time, timing, upstream,
 };
@@ -24,8 +24,8 @@
 /// An upstream that has seen a run end refuses its number. The scheduler then skips this many run
 /// numbers of the task.
 const ATTEMPT_SKIP: u32 = 16;
-/// A shorter silence than this counts as one lost call and not as an unreachable upstream,
-/// microseconds.
+/// An upstream that is silent for less than this, in microseconds, lost one call and was not
+/// unreachable.
 const BRIEF_SILENCE: u64 = 150 * time::MS;
 /// The scheduler stops runs of unknown jobs this long after it found them, microseconds; until then
 /// an entry may submit the job again. If the entry was lost together with the former scheduler, the
@@ -40,19 +40,19 @@
     pub fn record_latency(&mut self, number: u64, took: u64, outcome: &Outcome, now: u64) {
         // The upstream delays its answer to a hold until a run ends, so that the time says nothing
         // about the latency of the link.
-        let took = match self.sent.get(&number) {
-            Some((_, _, Sent::Hold)) => 0,
+        let took = match self.pending_calls.get(&number) {
+            Some((_, _, CallPurpose::Hold)) => 0,
             Some(_) => took,
             None => return,
         };
         if matches!(outcome, Outcome::Done(_) | Outcome::Held { .. }) {
-            self.call_timeout.answered(took, now);
+            self.call_timeout.record_answer(took, now);
         }
     }
 
     /// Processes the outcome of a call.
     pub fn process_outcome(&mut self, number: u64, fence: u64, outcome: Outcome, now: u64) {
-        let Some((id, asked, sent)) = self.sent.remove(&number) else {
+        let Some((id, asked, purpose)) = self.pending_calls.remove(&number) else {
             return;
         };
         self.dirty = true;
@@ -66,20 +66,22 @@
         let current = fence == session.fence;
         match &outcome {
             Outcome::Replaced => {
-                if let Sent::Start(task, attempt) = &sent {
+                if let CallPurpose::Start(task, attempt) = &purpose {
                     self.requeue_unstarted(&id, task, *attempt);
                 }
-                return self.replaced(&id);
+                return self.handle_replaced(&id);
             }
             Outcome::Refused(Reason::Fence, _) if current => {
                 self.process_outranked(&id, number, now);
             }
             _ => {}
         }
-        match sent {
-            Sent::Hold => self.process_hold(&id, number, asked, current, outcome, now),
-            Sent::Start(task, attempt) => self.process_start(&id, &task, attempt, &outcome, now),
-            Sent::Stop => self.process_stop(&id, &outcome, now),
+        match purpose {
+            CallPurpose::Hold => self.process_hold(&id, number, asked, current, outcome, now),
+            CallPurpose::Start(task, attempt) => {
+                self.process_start(&id, &task, attempt, &outcome, now);
+            }
+            CallPurpose::Stop => self.process_stop(&id, &outcome, now),
         }
     }
 
@@ -96,7 +98,7 @@
     fn process_outranked(&mut self, id: &name::Name, number: u64, now: u64) {
         if let Some(session) = self.sessions.get_mut(id) {
             session.end_hold(number);
-            session.outranked(now);
+            session.mark_outranked(now);
         }
         self.out.outranked.push(id.clone());
     }
@@ -117,8 +119,8 @@
                 if !current || !under_way {
                     return;
                 }
-                let silent = session.silent;
-                session.answered();
+                let silent = session.silent_since;
+                session.record_answer();
                 if let Some(since) = silent {
                     self.process_recovery(since, now);
                 }
@@ -131,8 +133,8 @@
             }
             Outcome::Refused(Reason::Fence, _) => {}
             _ if under_way => {
-                session.note_timeout(now);
-                let silent = session.silent.unwrap_or(now);
+                session.record_timeout(now);
+                let silent = session.silent_since.unwrap_or(now);
                 if silent == now {
                     self.note("upstream: No answer.", id, &format!("{outcome:?}"));
                 }
@@ -144,7 +146,7 @@
     /// Processes the first answer of an upstream that had been silent since `since`.
     fn process_recovery(&mut self, since: u64, now: u64) {
         if now < since + BRIEF_SILENCE {
-            return self.call_timeout.lost(now);
+            return self.call_timeout.record_loss(now);
         }
         for session in self.sessions.values_mut() {
             session.retry_with(since, now);
@@ -164,7 +166,7 @@
             let timing = timing.filter(|_| known && end.end == End::Done);
             if known {
                 session.runs.remove(&end.task);
-                session.freed = now;
+                session.freed_at = now;
             }
             match end.end {
                 End::Done => session.health.record_success(),
@@ -177,15 +179,15 @@
             }
             if let Some((timing, estimate)) = timing {
                 let parts = timing.end(clock, now);
-                self.note_speed(id, &parts, estimate, now);
-                self.note_breakdown(&end.task, parts, now);
+                self.record_speed(id, &parts, estimate, now);
+                self.record_breakdown(&end.task, parts, now);
             }
             self.end_task(id, &end, known, now);
         }
     }
 
     /// Records how the time of a completed task is divided.
-    fn note_breakdown(&mut self, task: &Task, parts: timing::Breakdown, now: u64) {
+    fn record_breakdown(&mut self, task: &Task, parts: timing::Breakdown, now: u64) {
         self.out.measures.push(event::Measure::Breakdown(parts));
         if let Some(active) = self.jobs.get_mut(&task.job) {
             let whole = now.saturating_sub(active.arrived);
@@ -209,7 +211,7 @@
         match end.end {
             End::Done => {
                 self.findings.done.push(task.clone());
-                let former = active.set(task, Phase::Done);
+                let former = active.set_phase(task, Phase::Done);
                 if let Some(Phase::Placed(other)) = former
                     && other != *id
                 {
@@ -222,12 +224,12 @@
                     return self.finish(&task.job.clone(), Verdict::Failed, now);
                 }
                 if here {
-                    active.set(task, Phase::Waiting);
+                    active.set_phase(task, Phase::Waiting);
                 }
             }
             End::Failed | End::Stopped | End::Lapsed => {
                 if here && known {
-                    active.set(task, Phase::Waiting);
+                    active.set_phase(task, Phase::Waiting);
                 }
             }
         }
@@ -248,7 +250,7 @@
             if let Some(active) = self.jobs.get_mut(&task.job)
                 && active.task(&task).is_some_and(|item| item.phase == Phase::Placed(id.clone()))
             {
-                active.set(&task, Phase::Waiting);
+                active.set_phase(&task, Phase::Waiting);
             }
         }
         let mut hung = Vec::new();
@@ -258,7 +260,7 @@
             match session.runs.get_mut(&row.task) {
                 Some(run) if run.attempt == row.attempt => {
                     if run.stage == Stage::Unconfirmed {
-                        self.call_timeout.late(now);
+                        self.call_timeout.record_late_answer(now);
                     }
                     if let Some(timing) = &mut run.timing {
                         timing.confirm(clock, now);
@@ -302,12 +304,12 @@
     /// Adopts a run that this scheduler did not start.
     fn adopt_run(&mut self, id: &name::Name, task: &Task, attempt: u32, now: u64) {
         let Some(active) = self.jobs.get_mut(&task.job) else {
-            self.orphans.insert(task.clone(), now + ORPHAN_GRACE);
+            self.orphan_runs.insert(task.clone(), now + ORPHAN_GRACE);
             return;
         };
         let waits = active.task(task).is_some_and(|item| item.phase == Phase::Waiting);
         if waits {
-            active.set(task, Phase::Placed(id.clone()));
+            active.set_phase(task, Phase::Placed(id.clone()));
             if let Some(item) = active.task_mut(task) {
                 item.attempt = item.attempt.max(attempt);
             }
@@ -350,7 +352,7 @@
                     run.progress = (now, 0);
                 }
                 let cpu = session.taken().cpu;
-                session.capacity_limit.taken(cpu);
+                session.capacity_limit.record_start(cpu);
             }
             Outcome::Lost => {
                 run.stage = Stage::Unconfirmed;
@@ -363,11 +365,11 @@
                 session.runs.remove(task);
                 match reason {
                     Reason::Room => {
-                        session.capacity_limit.refused(session.taken().cpu + need.cpu, now);
+                        session.capacity_limit.record_refusal(session.taken().cpu + need.cpu, now);
                     }
-                    Reason::Late => session.full = now + REFUSAL_PAUSE,
+                    Reason::Late => session.full_until = now + REFUSAL_PAUSE,
                     Reason::Unhealthy => {
-                        session.full = now + REFUSAL_PAUSE * 3;
+                        session.full_until = now + REFUSAL_PAUSE * 3;
                         if self.policy.eject {
                             session.health.record_failure(now);
                         }
@@ -378,7 +380,7 @@
             }
             Outcome::Unsent => {
                 session.runs.remove(task);
-                session.note_timeout(now);
+                session.record_timeout(now);
                 self.process_refusal(id, task, Reason::Unhealthy, now);
             }
             Outcome::Replaced => {}
@@ -401,7 +403,7 @@
         if item.failures >= active.job.attempts.max(1) {
             return self.finish(&task.job.clone(), Verdict::Failed, now);
         }
-        active.set(task, Phase::Waiting);
+        active.set_phase(task, Phase::Waiting);
     }
 
     fn process_stop(&mut self, id: &name::Name, outcome: &Outcome, now: u64) {
--- a/crates/dispatch/src/peer.rs
+++ b/crates/dispatch/src/peer.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of another one, and how old that knowledge is.
+//! State of another instance as this one knows it, and the age of that state.
 
 use state::name;
 
@@ -38,7 +38,7 @@
     /// Whether these heartbeats only answer its own.
     pub(crate) answers: bool,
     /// Whether one of the two instances watches the other by the rules of the watch list.
-    pub(crate) linked: bool,
+    pub(crate) is_linked: bool,
     /// The instance that last relayed a message of it, while no direct ones came, and when.
     pub(crate) last_relay: Option<(name::Name, u64)>,
     pub(crate) stream: redial::Stream,
@@ -55,7 +55,7 @@
 
 impl Peer {
     /// When the last answer came on the stream to it, if answers are expected.
-    pub(crate) fn answered(&self, now: u64) -> Option<u64> {
+    pub(crate) fn last_answer(&self, now: u64) -> Option<u64> {
         // An instance that no longer watches this one sends no heartbeats, either.
         let recent = if self.answers { SILENCE_TIMEOUT } else { FORGET_AFTER };
         let spoke = self.direct_at > 0 && now < self.direct_at + recent;
@@ -77,13 +77,18 @@
 
     /// Bounds its clock by a heartbeat of this instance that it has read, and by the time that its
     /// own clock shows.
-    pub(crate) fn update_bound(&mut self, proof: Option<&message::Heard>, clock: u64, now: u64) {
+    pub(crate) fn update_bound(
+        &mut self,
+        proof: Option<&message::HeartbeatAck>,
+        clock: u64,
+        now: u64,
+    ) {
         // Its clock is beyond the bound: this instance's clock was stopped without being noticed.
         if self.clock_bound.is_some_and(|bound| clock > bound.clock(now)) {
             self.clock_bound = None;
         }
-        let Some(heard) = proof else { return };
-        let bound = ClockBound { offset: heard.at as i64 - heard.clock as i64, at: heard.clock };
+        let Some(ack) = proof else { return };
+        let bound = ClockBound { offset: ack.at as i64 - ack.clock as i64, at: ack.clock };
         let tighter = self.clock_bound.is_none_or(|held| bound.clock(now) < held.clock(now));
         if tighter && clock <= bound.clock(now) {
             self.clock_bound = Some(bound);
--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -6,7 +6,7 @@
     core::Core,
     event::Output,
     fetch, job, member,
-    message::{Adopted, AdoptedZone, Body, Handover, Heard, Ping},
+    message::{Adopted, AdoptedZone, Body, Handover, HeartbeatAck, Ping},
     sched,
     time::Now,
     upstream, zone,
@@ -49,14 +49,14 @@
             || self.submissions.is_short(zone);
         let watched = self
             .claims
-            .monitored(zone, &self.evacuations)
+            .watched(zone, &self.evacuations)
             .filter(|claim| next || claim.zone == *zone);
         let watched = watched.map(|claim| claim.holder.clone());
         let entries = self.watched_entries.iter().cloned();
         watched.chain(self.submissions.schedulers().cloned()).chain(entries).collect()
     }
 
-    /// Entries of other zones that a keeper monitors because it may have to schedule their zones:
+    /// Entries of other zones that a keeper watches because it may have to schedule their zones:
     /// zones without a scheduler, and zones where this keeper comes first if their keepers are
     /// lost.
     pub(crate) fn find_watched_entries(&self, now: Now) -> Vec<name::Name> {
@@ -79,7 +79,7 @@
             card: self.membership.me().clone(),
             clock: now.mono,
             echo: false,
-            heard: None,
+            ack: None,
             upstreams: self.digest(),
             urgent: false,
             draining: self.draining,
@@ -116,7 +116,7 @@
                 if self.membership.raise_incarnation(&cards, &gone, now.mono) {
                     let incarnation = self.membership.me().incarnation.to_string();
                     self.note(
-                        "node: A former incarnation had a later clock, taking a higher one.",
+                        "node: Incarnation raised above the one that others know.",
                         from,
                         incarnation,
                     );
@@ -161,13 +161,15 @@
                     self.send(from, Body::Unknown(awaited.job, awaited.number), now);
                 }
             }
-            Body::Unknown(id, number) => self.submissions.unknown(from, &id, number),
-            Body::Verdict(id, decision) => self.submissions.verdict(from, &id, &decision, now.mono),
-            Body::Spare(id, spare) => {
+            Body::Unknown(id, number) => self.submissions.handle_unknown(from, &id, number),
+            Body::Verdict(id, decision) => {
+                self.submissions.handle_verdict(from, &id, &decision, now.mono);
+            }
+            Body::Spare(id, returned) => {
                 let (view, submissions) = self.view(now);
-                submissions.spare(from, &id, &spare, view);
+                submissions.handle_returned(from, &id, &returned, view);
             }
-            Body::Lost(losses) => self.note_losses(&losses, now),
+            Body::Lost(losses) => self.record_losses(&losses, now),
             Body::Relay(origin, to, body) if to == self.membership.me().name => {
                 if !matches!(*body, Body::Relay(..)) {
                     self.membership.record_relay(&origin, from, now.mono);
@@ -205,20 +207,20 @@
             return sched.refuse_given_up(&job.id, from, handover, now.mono);
         }
         if let Some(number) = directory.find(handover.upstreams) {
-            sched.note_known(from, number);
+            sched.record_known(from, number);
         }
         sched.hand_over(job, from, handover, now.mono);
     }
 
-    /// Records the upstreams that another instance knows from a heartbeat of this one: `heard`
+    /// Records the upstreams that another instance knows from a heartbeat of this one: `ack`
     /// acknowledges that heartbeat.
-    fn record_sets(&mut self, from: &name::Name, heard: &Heard) {
+    fn record_known_sets(&mut self, from: &name::Name, ack: &HeartbeatAck) {
         let home = self.membership.me().zone.clone();
         for (name, zone) in &mut self.zones {
             let Some(sched) = &mut zone.sched else { continue };
-            let known = heard.set(name, &home).and_then(|digest| zone.directory.find(digest));
+            let known = ack.digest_of(name, &home).and_then(|digest| zone.directory.find(digest));
             if let Some(number) = known {
-                sched.note_known(from, number);
+                sched.record_known(from, number);
             }
         }
     }
@@ -232,22 +234,21 @@
         for claim in &ping.claims {
             if self.claims.merge(claim, now.mono) {
                 self.note("zone: Claimed.", &claim.holder, claim.zone.to_string());
-                self.introduce(&claim.holder, now);
+                self.greet_holder(&claim.holder, now);
             }
         }
         self.adopt_evacuations(&ping.evacuations, now);
         if let Some(load) = ping.load {
-            self.submissions.load(&ping.card.zone, load, now.mono);
+            self.submissions.record_load(&ping.card.zone, load, now.mono);
         }
         for adopted_zone in &ping.adopted {
-            self.submissions.load(&adopted_zone.zone, adopted_zone.load, now.mono);
+            self.submissions.record_load(&adopted_zone.zone, adopted_zone.load, now.mono);
         }
-        let ack = ping.heard.clone();
+        let ack = ping.ack.clone();
         let (version, members, records) = (ping.version, ping.members, ping.records);
-        let former =
-            self.membership.last_heartbeat(&from).map(|heard| (heard.upstreams, heard.adopted));
+        let former = self.membership.last_heartbeat(&from).map(|ack| (ack.upstreams, ack.adopted));
         if self.membership.record_heartbeat(ping, direct, now.mono) {
-            self.note("peer: Heard.", &from, String::new());
+            self.note("peer: First heartbeat received.", &from, String::new());
             // The sender has just started; the answer to its heartbeat brings what it lacks.
             self.send_heartbeat(&from, now);
             if version == 0 {
@@ -255,18 +256,17 @@
             }
             self.scheds_mut().for_each(|sched| sched.forget_entry(&from));
         }
-        if let Some(heard) = ack {
-            self.record_sets(&from, &heard);
+        if let Some(ack) = ack {
+            self.record_known_sets(&from, &ack);
         }
         // A scheduler waits until it learns that this instance knows its new upstreams. A heartbeat
         // at once makes that 165 ms at most instead of 325 (`doubled::soon_used`).
         let is_scheduler = self.claims.iter().any(|claim| claim.holder == from);
-        let latest =
-            self.membership.last_heartbeat(&from).map(|heard| (heard.upstreams, heard.adopted));
+        let latest = self.membership.last_heartbeat(&from).map(|ack| (ack.upstreams, ack.adopted));
         if is_scheduler && former.is_some() && former != latest {
             self.send_heartbeat(&from, now);
         }
-        self.note_version(version, now);
+        self.record_version(version, now);
         let zone = self.membership.me().zone.clone();
         let sync_needed =
             members != self.membership.digest() || self.membership.is_forgotten(&from);
@@ -285,10 +285,10 @@
         self.yield_to_higher();
     }
 
-    /// Sends a heartbeat to a scheduler that this instance knows by its claim only: after a restart
+    /// Sends a heartbeat to a scheduler that this instance knows only by its claim: after a restart
     /// of the whole system lists of instances come 500 ms later, and jobs wait for a scheduler
     /// whose heartbeats arrive.
-    fn introduce(&mut self, holder: &name::Name, now: Now) {
+    fn greet_holder(&mut self, holder: &name::Name, now: Now) {
         let me = &self.membership.me().name;
         if holder != me && self.membership.peer(holder).is_none() {
             self.membership.add_known(std::slice::from_ref(holder), now.mono);
@@ -299,7 +299,7 @@
     /// Merges records of upstreams.
     pub(crate) fn on_records(&mut self, records: Vec<upstream::Record>) {
         for record in records {
-            if let Some(held) = self.table.take(record) {
+            if let Some(held) = self.table.merge(record) {
                 self.forward_record(&held);
             }
         }
@@ -371,9 +371,8 @@
             self.receives_records(me, &card.zone) && self.receives_records(card, &card.zone)
         };
         let records = card.filter(held).map(|card| self.table.digest(&card.zone));
-        let (echo, heard) =
-            (self.membership.echo(to, now.mono), self.membership.last_heartbeat(to));
-        Ping { echo, heard, records, ..ping }
+        let (echo, ack) = (self.membership.echo(to, now.mono), self.membership.last_heartbeat(to));
+        Ping { echo, ack, records, ..ping }
     }
 
     /// Whether an instance receives news of the upstreams of a zone.
--- a/crates/dispatch/src/place.rs
+++ b/crates/dispatch/src/place.rs
@@ -1,6 +1,6 @@
 //! Placement: which upstream runs a task.
 //!
-//! A task is placed at the upstream where it leaves the least room over (best fit), so that tasks
+//! A task is placed at the upstream where it leaves the least free room (best fit), so that tasks
 //! that need many cores still find a whole upstream: of tasks of 10 to 20 cores, two or three fit
 //! on an upstream of 32 or 48 cores.
 //!
@@ -11,7 +11,7 @@
 //!
 //! The module handles a load of more jobs than there is room for. Each answer of an upstream then
 //! finds hundreds of waiting jobs, nearly all of which fit on no upstream, so that this check has
-//! to cost next to nothing: upstreams are kept sorted by their free cores.
+//! to be very cheap: upstreams are kept sorted by their free cores.
 
 use std::collections;
 
@@ -90,27 +90,28 @@
             .filter(|session| session.is_open(now) && !session.health.is_ejected(now));
         let usable =
             open.filter(|session| !session.health.is_on_trial() || session.runs.is_empty());
-        let free = usable.map(|session| Candidate {
+        let candidates = usable.map(|session| Candidate {
             session,
             room: session.free(now),
             runs: session.runs.len(),
             suspect: session.runs.keys().any(|task| suspects.has(task)),
             slowness: session.slowness(policy, now),
         });
-        let (mut slow, free): (Vec<_>, Vec<_>) =
-            free.filter(|free| free.room.cpu > 0).partition(|free| free.slowness > 1.0);
+        let (mut slow, others): (Vec<_>, Vec<_>) = candidates
+            .filter(|candidate| candidate.room.cpu > 0)
+            .partition(|candidate| candidate.slowness > 1.0);
         let (mut suspected, mut healthy): (Vec<_>, Vec<_>) =
-            free.into_iter().partition(Candidate::is_suspected);
-        healthy.sort_by_key(|free| free.room.cpu);
-        suspected.sort_by_key(|free| free.room.cpu);
-        slow.sort_by_key(|free| free.room.cpu);
+            others.into_iter().partition(Candidate::is_suspected);
+        healthy.sort_by_key(|candidate| candidate.room.cpu);
+        suspected.sort_by_key(|candidate| candidate.room.cpu);
+        slow.sort_by_key(|candidate| candidate.room.cpu);
         let placed = Vec::new();
         Self { sessions, healthy, suspected, slow, running: None, suspects, placed, policy }
     }
 
     /// Largest number of free cores at one upstream, thousandths.
     pub fn max_free(&self) -> u64 {
-        let last = |list: &[Candidate<'_>]| list.last().map_or(0, |free| free.room.cpu);
+        let last = |list: &[Candidate<'_>]| list.last().map_or(0, |candidate| candidate.room.cpu);
         last(&self.healthy).max(last(&self.suspected)).max(last(&self.slow))
     }
 
@@ -124,20 +125,20 @@
         if self.is_running(task) {
             return Choice::Running;
         }
-        let mut free = self.class_mut(class).remove(at);
-        free.room = free.room.less(step.need);
-        free.runs += 1;
-        free.suspect |= self.suspects.has(task);
-        self.placed.push((task.clone(), free.session.record.id.clone()));
+        let mut candidate = self.class_mut(class).remove(at);
+        candidate.room = candidate.room.minus(step.need);
+        candidate.runs += 1;
+        candidate.suspect |= self.suspects.has(task);
+        self.placed.push((task.clone(), candidate.session.record.id.clone()));
         let class = match class {
             Class::Slow => Class::Slow,
-            _ if free.is_suspected() => Class::Suspected,
+            _ if candidate.is_suspected() => Class::Suspected,
             _ => Class::Healthy,
         };
         let list = self.class_mut(class);
-        if !free.session.health.is_on_trial() && free.room.cpu > 0 {
-            let at = list.partition_point(|other| other.room.cpu < free.room.cpu);
-            list.insert(at, free);
+        if !candidate.session.health.is_on_trial() && candidate.room.cpu > 0 {
+            let at = list.partition_point(|other| other.room.cpu < candidate.room.cpu);
+            list.insert(at, candidate);
         }
         Choice::Placed
     }
@@ -163,21 +164,23 @@
             Class::Suspected => &self.suspected,
             Class::Slow => &self.slow,
         };
-        let from = list.partition_point(|free| free.room.cpu < step.need.cpu);
-        let fits = |free: &Candidate<'_>| {
-            let record = &free.session.record;
+        let from = list.partition_point(|candidate| candidate.room.cpu < step.need.cpu);
+        let fits = |candidate: &Candidate<'_>| {
+            let record = &candidate.session.record;
             let labelled = step.label.as_ref().is_none_or(|label| record.labels.contains(label));
             record.service == job.service
-                && free.session.number <= limit.known_number
-                && (free.slowness <= 1.0
-                    || step.estimate as f64 * free.slowness <= limit.time_left as f64)
-                && step.need.fits(&free.room)
+                && candidate.session.number <= limit.known_number
+                && (candidate.slowness <= 1.0
+                    || step.estimate as f64 * candidate.slowness <= limit.time_left as f64)
+                && step.need.fits(&candidate.room)
                 && labelled
-                && (step.spread == 0 || self.count(free.session, task) < step.spread)
+                && (step.spread == 0 || self.count(candidate.session, task) < step.spread)
         };
         if self.suspects.has(task) {
-            let fitting = list.iter().enumerate().skip(from).filter(|(_, free)| fits(free));
-            let (at, _) = fitting.min_by_key(|(_, free)| (free.suspect, free.runs))?;
+            let fitting =
+                list.iter().enumerate().skip(from).filter(|(_, candidate)| fits(candidate));
+            let (at, _) =
+                fitting.min_by_key(|(_, candidate)| (candidate.suspect, candidate.runs))?;
             return Some(at);
         }
         let mut fitting = list[from..].iter();
--- a/crates/dispatch/src/propagation.rs
+++ b/crates/dispatch/src/propagation.rs
@@ -12,7 +12,7 @@
     time::{MS, Now},
 };
 
-/// An instance answers no requests by its configuration once it has known of a newer one for this
+/// An instance answers no requests by its configuration once it has known a newer version for this
 /// long, microseconds: a route may be gone or lead elsewhere. Operators count on a change after
 /// 2,000 ms. Of these, the news may take 450 ms if its heartbeat is lost twice, and reading the
 /// newer configuration 300 ms. An instance that receives heartbeats from no instance with a newer
@@ -25,14 +25,14 @@
 
 impl Core {
     /// Records the version that another instance has, and fetches it if it is newer.
-    pub(crate) fn note_version(&mut self, version: u64, now: Now) {
+    pub(crate) fn record_version(&mut self, version: u64, now: Now) {
         if version > self.document.version {
             self.newer_versions.entry(version).or_insert(now.mono);
             self.fetch_newer(now);
         }
     }
 
-    /// Whether this instance has known of a newer configuration for too long to answer requests by
+    /// Whether this instance has known a newer version for too long to answer requests by
     /// the one in force, and a live instance has that newer one.
     pub fn is_outdated(&self, now: Now) -> bool {
         let Some((version, since)) = self.newer_versions.first_key_value() else { return false };
@@ -74,7 +74,7 @@
 
     /// Handles a part of a configuration.
     pub(crate) fn on_part(&mut self, from: &name::Name, part: &Part, now: Now) {
-        match self.fetch.take(from, part, now.mono) {
+        match self.fetch.add_part(from, part, now.mono) {
             fetch::Progress::More(request) => self.send(from, Body::Fetch(request), now),
             fetch::Progress::Complete(document) => self.adopt(document, now),
             fetch::Progress::Ignored => {
@@ -93,8 +93,8 @@
             return;
         }
         let newer = self.newer_versions.split_off(&(document.version + 1));
-        let told = std::mem::replace(&mut self.newer_versions, newer);
-        let since = told.into_values().min().unwrap_or(now.mono);
+        let replaced = std::mem::replace(&mut self.newer_versions, newer);
+        let since = replaced.into_values().min().unwrap_or(now.mono);
         let waited = now.mono.saturating_sub(since) / MS;
         self.fetch.drop_older(document.version);
         self.document = document.clone();
@@ -153,13 +153,13 @@
     }
 
     /// Puts a set of evacuated zones in force if it is newer than the present one.
-    pub(crate) fn adopt_evacuations(&mut self, heard: &evacuation::Evacuations, now: Now) {
-        if heard.revision <= self.evacuations.revision {
+    pub(crate) fn adopt_evacuations(&mut self, newer: &evacuation::Evacuations, now: Now) {
+        if newer.revision <= self.evacuations.revision {
             return;
         }
-        self.evacuations = heard.clone();
+        self.evacuations = newer.clone();
         let me = self.membership.me().name.clone();
-        let detail = format!("revision {}: {}", heard.revision, heard.names());
+        let detail = format!("revision {}: {}", newer.revision, newer.names());
         self.note("settings: Evacuated zones changed.", &me, detail);
         if self.control_log.is_some() {
             self.announce_version(now);
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -20,7 +20,7 @@
 /// share of all cores, percent: a wait of some milliseconds is no reason to change the order.
 const CONGESTED_PERCENT: i64 = 20;
 /// A zone is overloaded when the cores that are waited for exceed the free ones by more than this
-/// share of all cores, percent. Below it, the backlog of a lost scheduler is worked off late instead
+/// share of all cores, percent. Below it, the backlog of a lost scheduler is completed late instead
 /// of being refused.
 const OVERLOADED_PERCENT: i64 = 100;
 /// Shortest time after which a refused client may retry, milliseconds: the length of a few tasks.
--- a/crates/dispatch/src/redial.rs
+++ b/crates/dispatch/src/redial.rs
@@ -22,10 +22,10 @@
 const PROMPT_ANSWER: u64 = 500 * time::MS;
 /// Reconnects that an instance may make at the start, and its maximum unless answers earn more:
 /// enough for the keepers of two other zones.
-const INITIAL: u32 = 4;
+const INITIAL_BUDGET: u32 = 4;
 /// Reconnects earned by each one that is answered soon: the hundred streams of a hub take three
 /// rounds.
-const EARNED: u32 = 4;
+const EARNED_BUDGET: u32 = 4;
 /// Maximum number of reconnects that the budget holds.
 const MAX_BUDGET: u32 = 32;
 /// Interval at which the budget gains one reconnect, in microseconds.
@@ -71,7 +71,7 @@
 impl Budget {
     /// Creates the budget of an instance that starts.
     pub fn new(now: u64) -> Self {
-        Self { left: INITIAL, refilled: now, late_until: 0, count: 0 }
+        Self { left: INITIAL_BUDGET, refilled: now, late_until: 0, count: 0 }
     }
 
     /// Number of reconnects so far.
@@ -84,7 +84,7 @@
         if now >= self.refilled + REFILL_INTERVAL {
             self.refilled = now;
             // The budget does not keep what answers earned beyond its initial size.
-            self.left = (self.left + 1).min(INITIAL);
+            self.left = (self.left + 1).min(INITIAL_BUDGET);
         }
     }
 
@@ -101,14 +101,14 @@
     }
 
     /// Handles an answer on a stream, whose previous answer came at `former`.
-    pub fn answered(&mut self, stream: &mut Stream, former: u64, now: u64) {
+    pub fn record_answer(&mut self, stream: &mut Stream, former: u64, now: u64) {
         let delayed = former > 0 && now >= former + LATE_GAP;
         if delayed && stream.retries == 0 {
             self.late_until = now + LATE_PERIOD;
-            self.left = self.left.min(INITIAL);
+            self.left = self.left.min(INITIAL_BUDGET);
         } else if stream.retries > 0 && now < stream.last + PROMPT_ANSWER && now >= self.late_until
         {
-            self.left = (self.left + EARNED).min(MAX_BUDGET);
+            self.left = (self.left + EARNED_BUDGET).min(MAX_BUDGET);
         }
         stream.retries = 0;
     }
--- a/crates/dispatch/src/relay.rs
+++ b/crates/dispatch/src/relay.rs
@@ -14,7 +14,7 @@
 const RELAY_AFTER: u64 = 2 * HEARTBEAT_INTERVAL;
 /// Maximum number of silent instances that a heartbeat names: more than are lost at a time, unless
 /// their whole zone is lost.
-const MAX_LACKS: usize = 16;
+const MAX_SILENT_PEERS: usize = 16;
 
 impl Membership {
     /// Records that the instance `via` relayed a message of `name`.
@@ -30,7 +30,7 @@
     pub fn relay(&self, name: &name::Name, now: u64) -> Option<&name::Name> {
         let peer = self.peers.get(name)?;
         let expected =
-            peer.linked || peer.heartbeat_at > 0 && now < peer.heartbeat_at + SILENCE_TIMEOUT;
+            peer.is_linked || peer.heartbeat_at > 0 && now < peer.heartbeat_at + SILENCE_TIMEOUT;
         if peer.is_direct(now) || !expected || now < peer.direct_since.max(peer.since) + RELAY_AFTER
         {
             return None;
@@ -44,10 +44,11 @@
         let card = peer.card.as_ref()?;
         let hash = name_hash(name);
         let able = |(_, other): &(&name::Name, &Peer)| {
-            let lacks = other.ping.as_ref().is_none_or(|ping| ping.silent_peers.contains(&hash));
-            let ought =
-                |held: &member::Card| held.name != *name && self.watch_list.linked(held, card);
-            !lacks && other.is_direct(now) && other.card.as_ref().is_some_and(ought)
+            let is_silent =
+                other.ping.as_ref().is_none_or(|ping| ping.silent_peers.contains(&hash));
+            let should_exchange =
+                |held: &member::Card| held.name != *name && self.watch_list.is_linked(held, card);
+            !is_silent && other.is_direct(now) && other.card.as_ref().is_some_and(should_exchange)
         };
         let able = self.peers.iter().filter(able).map(|(name, _)| name);
         // The key depends on the receiver's name, so that the load spreads over several relays.
@@ -56,17 +57,17 @@
 
     /// Returns the relay for a message that replaces the direct connection to a live instance.
     pub fn detour(&self, name: &name::Name, now: u64) -> Option<&name::Name> {
-        let heard = self
+        let is_recent = self
             .peers
             .get(name)
             .is_some_and(|p| p.heartbeat_at > 0 && now < p.heartbeat_at + SILENCE_TIMEOUT);
-        if heard { self.relay(name, now) } else { None }
+        if is_recent { self.relay(name, now) } else { None }
     }
 
     /// Hashes of the names of some instances that this one should receive heartbeats from, but
     /// doesn't.
     pub fn silent_peers(&self, now: u64) -> Vec<u32> {
-        let lacking = self.peers.iter().filter(|(_, peer)| peer.linked && !peer.is_direct(now));
-        lacking.take(MAX_LACKS).map(|(name, _)| name_hash(name)).collect()
+        let silent = self.peers.iter().filter(|(_, peer)| peer.is_linked && !peer.is_direct(now));
+        silent.take(MAX_SILENT_PEERS).map(|(name, _)| name_hash(name)).collect()
     }
 }
--- a/crates/dispatch/src/sched.rs
+++ b/crates/dispatch/src/sched.rs
@@ -15,10 +15,10 @@
 };
 
 /// How long runs that a former scheduler started for an entry may continue after the entry last
-/// told that scheduler that it awaits the job, microseconds. It covers the time after which the
+/// informed that scheduler that it awaits the job, microseconds. It covers the time after which the
 /// scheduler drops the job ([`upkeep::ABANDON_AFTER`], 900 ms, and a tick of 40 ms) and the last
 /// lease that it renewed (950 ms, and 2.5% for clock differences). The time counts from the
-/// hand-over of each job, because an entry may leave a scheduler long after the next claim.
+/// handover of each job, because an entry may leave a scheduler long after the next claim.
 pub(crate) const FORMER_RUN_TIMEOUT: u64 = 2_000 * time::MS;
 /// How long the scheduler keeps the ends of runs of unknown jobs, microseconds: their entries may
 /// submit these jobs again.
@@ -35,7 +35,7 @@
 /// microsecond, so that the bits above stay free for years.
 const SLOT_SHIFT: u32 = 60;
 
-/// Effects collected since the last [`Sched::take`].
+/// Effects collected since the last [`Sched::take_output`].
 #[derive(Debug, Default)]
 pub struct Output {
     /// Calls to upstreams.
@@ -43,7 +43,7 @@
     /// Final states of jobs, for their entries: entry, job, decision.
     pub verdicts: Vec<(name::Name, name::Name, message::Decision)>,
     /// Tasks that the scheduler returns to their entries: entry, job, tasks.
-    pub spares: Vec<(name::Name, name::Name, message::ReturnedTasks)>,
+    pub returned: Vec<(name::Name, name::Name, message::ReturnedTasks)>,
     /// Upstreams that are gone; `true` if that incarnation has ended for good.
     pub gone: Vec<(name::Name, bool)>,
     /// Upstreams that have seen a higher fencing token than any that this scheduler used.
@@ -56,7 +56,7 @@
 
 /// The purpose of a call, kept until its outcome is known.
 #[derive(Clone, Debug)]
-pub(crate) enum Sent {
+pub(crate) enum CallPurpose {
     Hold,
     Start(Task, u32),
     Stop,
@@ -68,9 +68,12 @@
     /// Upstreams of the zone.
     pub sessions: collections::BTreeMap<name::Name, Session>,
     pub(crate) jobs: collections::BTreeMap<name::Name, ActiveJob>,
-    pub(crate) sent: collections::HashMap<u64, (name::Name, u64, Sent)>,
+    /// Calls without an outcome by number: upstream, time of sending and purpose.
+    pub(crate) pending_calls: collections::HashMap<u64, (name::Name, u64, CallPurpose)>,
+    /// Ends of runs of unknown jobs, and when the scheduler learned of each.
     pub(crate) ends: collections::HashMap<Task, (End, u64)>,
-    pub(crate) orphans: collections::BTreeMap<Task, u64>,
+    /// Runs of unknown jobs, and when each of them counts as unwanted.
+    pub(crate) orphan_runs: collections::BTreeMap<Task, u64>,
     /// Jobs that former schedulers had on upstreams of which this scheduler may not know all.
     pub(crate) uncovered_jobs: collections::BTreeSet<name::Name>,
     /// The number in the directory up to which each entry knows the upstreams.
@@ -89,7 +92,7 @@
     pub(crate) policy: policy::Policy,
     pub(crate) findings: suspect::Findings,
     pub(crate) call_timeout: call_timeout::CallTimeout,
-    pub(crate) usual: speed::Usual,
+    pub(crate) usual_ratio: speed::UsualRatio,
     pub(crate) out: Output,
 }
 
@@ -100,9 +103,9 @@
         Self {
             sessions: collections::BTreeMap::new(),
             jobs: collections::BTreeMap::new(),
-            sent: collections::HashMap::new(),
+            pending_calls: collections::HashMap::new(),
             ends: collections::HashMap::new(),
-            orphans: collections::BTreeMap::new(),
+            orphan_runs: collections::BTreeMap::new(),
             uncovered_jobs: collections::BTreeSet::new(),
             known: collections::BTreeMap::new(),
             verdicts: collections::HashMap::new(),
@@ -117,7 +120,7 @@
             policy: policy::Policy::default(),
             findings: suspect::Findings::default(),
             call_timeout: call_timeout::CallTimeout::default(),
-            usual: speed::Usual::default(),
+            usual_ratio: speed::UsualRatio::default(),
             out: Output::default(),
         }
     }
@@ -136,11 +139,11 @@
 
     /// Whether this scheduler awaits the outcome of the call with this number.
     pub fn expects(&self, number: u64) -> bool {
-        self.sent.contains_key(&number)
+        self.pending_calls.contains_key(&number)
     }
 
     /// Returns the effects collected so far and clears them.
-    pub fn take(&mut self) -> Output {
+    pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
 
@@ -214,7 +217,7 @@
     }
 
     /// Records that an entry knows the upstreams up to a number.
-    pub fn note_known(&mut self, entry: &name::Name, number: u64) {
+    pub fn record_known(&mut self, entry: &name::Name, number: u64) {
         let known = self.known.entry(entry.clone()).or_default();
         if number > *known {
             *known = number;
@@ -235,11 +238,11 @@
         }
     }
 
-    /// Handles everything that is due at `now`. `alive` returns the latest possible clock reading
-    /// of an entry from which messages arrive.
-    pub fn tick(&mut self, alive: impl Fn(&name::Name) -> Option<u64>, now: u64) {
-        self.drop_abandoned(&alive, now);
-        self.expire(now);
+    /// Handles everything that is due at `now`. `clock_of` returns the latest possible clock
+    /// reading of an entry from which messages arrive.
+    pub fn tick(&mut self, clock_of: impl Fn(&name::Name) -> Option<u64>, now: u64) {
+        self.drop_abandoned(&clock_of, now);
+        self.expire_jobs(now);
         self.expire_leases(now);
         self.mark_orphans(now);
         self.give_up_lost(now);
@@ -248,13 +251,13 @@
         self.dirty = true;
     }
 
-    /// Starts waiting tasks and sends the calls that are due to upstreams. `alive` returns the
+    /// Starts waiting tasks and sends the calls that are due to upstreams. `clock_of` returns the
     /// latest possible clock reading of an entry from which messages arrive: a job that waited in
     /// buffers, here or on the way, may have been handed to another scheduler since. Tasks in
     /// `suspects` run apart from others.
     pub fn run(
         &mut self,
-        alive: impl Fn(&name::Name) -> Option<u64>,
+        clock_of: impl Fn(&name::Name) -> Option<u64>,
         suspects: &suspect::Suspects,
         now: u64,
     ) {
@@ -263,7 +266,7 @@
             if self.evacuated {
                 self.return_all(now);
             } else {
-                self.dispatch(&alive, suspects, now);
+                self.dispatch(&clock_of, suspects, now);
             }
             self.return_offers(now);
         }
@@ -285,7 +288,7 @@
             self.number += 1;
             match session.next_call(self.number, self.lease, pace, now) {
                 Some(call) => {
-                    self.sent.insert(call.number, (id, now, Sent::Hold));
+                    self.pending_calls.insert(call.number, (id, now, CallPurpose::Hold));
                     self.out.calls.push(call);
                 }
                 None if !session.is_pending() => {
@@ -314,7 +317,7 @@
     }
 
     /// Handles a new incarnation of the upstream at its address: no run of the former one is left.
-    pub(crate) fn replaced(&mut self, id: &name::Name) {
+    pub(crate) fn handle_replaced(&mut self, id: &name::Name) {
         self.note("upstream: Replaced by a new incarnation.", id, "");
         self.out.gone.push((id.clone(), true));
         let ran = self
@@ -343,7 +346,7 @@
         for task in tasks {
             if self.jobs.contains_key(&task.job) {
                 let detail = format!("task {}.{}", task.step, task.index);
-                self.note("job: Given up, it brings upstreams down.", &task.job, &detail);
+                self.note("job: Given up, its tasks crash upstreams.", &task.job, &detail);
                 self.finish(&task.job, Verdict::Failed, now);
             }
         }
@@ -362,7 +365,7 @@
         if let Some(active) = self.jobs.get_mut(&task.job)
             && active.task(task).is_some_and(|item| item.phase == Phase::Placed(id.clone()))
         {
-            active.set(task, Phase::Waiting);
+            active.set_phase(task, Phase::Waiting);
         }
     }
 
--- a/crates/dispatch/src/scheduling.rs
+++ b/crates/dispatch/src/scheduling.rs
@@ -22,11 +22,11 @@
 /// two schedulers that each claimed above the other would stop the zone.
 const CLAIM_WAIT: u64 = 250 * MS;
 
-/// Processor time that a scheduler takes for each upstream, thousandths of a core: keepers that
+/// CPU time that a scheduler takes for each upstream, thousandths of a core: keepers that
 /// schedule 108 busy ones (870 starts a second) take 97 to 125 in all.
 const CPU_PER_UPSTREAM: u64 = 1;
 
-/// Share of its processor time that an instance has for scheduling, percent: an entry also serves
+/// Share of its CPU time that an instance has for scheduling, percent: an entry also serves
 /// its own clients.
 const CPU_PERCENT: u64 = 50;
 
@@ -83,7 +83,7 @@
         self.zones.get(&self.membership.me().zone).is_some_and(|zone| !zone.directory.is_empty())
     }
 
-    /// Whether scheduling its zone would take more processor time than this instance has for it.
+    /// Whether scheduling its zone would take more CPU time than this instance has for it.
     pub(crate) fn has_low_capacity(&self) -> bool {
         let zone = self.zones.get(&self.membership.me().zone);
         let upstreams = zone.map_or(0, |zone| zone.directory.len() as u64);
@@ -117,7 +117,7 @@
             .with_slot(self.scheduled_zones().len() as u64)
             .with_policy(self.policy);
         // This instance's entry knows at once every upstream that its scheduler knows.
-        sched.note_known(&claim.holder, u64::MAX - 1);
+        sched.record_known(&claim.holder, u64::MAX - 1);
         let zone = self.zones.entry(claim.zone.clone()).or_default();
         zone.lead(sched, self.table.of_zone(&claim.zone));
         let detail = format!("{}, epoch {}", claim.zone, claim.epoch);
@@ -130,7 +130,7 @@
     pub(crate) fn forward_record(&mut self, record: &upstream::Record) {
         let me = self.membership.me();
         if record.zone == me.zone || me.role == member::Role::Keeper {
-            self.zones.entry(record.zone.clone()).or_default().record(record);
+            self.zones.entry(record.zone.clone()).or_default().apply_record(record);
         }
     }
 
@@ -139,7 +139,7 @@
         let sched = self.zones.get_mut(name).and_then(|zone| zone.sched.as_mut());
         let findings = sched.map(sched::Sched::take_findings).unwrap_or_default();
         self.suspects.apply_findings(&findings);
-        self.note_losses(&findings.losses, now);
+        self.record_losses(&findings.losses, now);
         self.send_losses(&findings.losses, now);
     }
 
@@ -150,20 +150,20 @@
         sched.set_evacuated(self.evacuations.has(name));
         sched.clear_covered(|digest| zone.directory.find(digest).is_some());
         sched.run(|entry| membership.clock(entry, now.mono), &self.suspects, now.mono);
-        let out = sched.take();
+        let out = sched.take_output();
         self.out.extend(out.calls.into_iter().map(Output::Call));
         self.out.extend(out.notes.into_iter().map(Output::Note));
         self.out.extend(out.measures.into_iter().map(Output::Measure));
         for (to, id, decision) in out.verdicts {
             self.send(&to, Body::Verdict(id, Box::new(decision)), now);
         }
-        for (to, id, spare) in out.spares {
+        for (to, id, returned) in out.returned {
             // An entry that does not know that the zone is evacuated would submit the tasks to it
             // again.
             if !self.knows_evacuations(&to) {
                 self.send_heartbeat(&to, now);
             }
-            self.send(&to, Body::Spare(id, spare), now);
+            self.send(&to, Body::Spare(id, returned), now);
         }
         for (id, last) in out.gone {
             if let Some(record) = self.table.mark_gone(&id, last) {
@@ -178,8 +178,8 @@
     /// Whether an instance has reported the revision of the evacuations that is in force here, or a
     /// later one.
     fn knows_evacuations(&self, name: &name::Name) -> bool {
-        let told = self.membership.peer(name).and_then(|peer| peer.ping.as_ref());
-        let revision = told.map_or(0, |ping| ping.evacuations.revision);
+        let ping = self.membership.peer(name).and_then(|peer| peer.ping.as_ref());
+        let revision = ping.map_or(0, |ping| ping.evacuations.revision);
         *name == self.membership.me().name || revision >= self.evacuations.revision
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Records lost upstreams, and gives up the jobs with tasks that ran on too many of them.
-    pub(crate) fn note_losses(&mut self, losses: &[suspect::Loss], now: Now) {
+    pub(crate) fn record_losses(&mut self, losses: &[suspect::Loss], now: Now) {
         for loss in losses {
             let given_up = self.suspects.add(loss, now.mono);
             self.scheds_mut().for_each(|sched| sched.give_up(&given_up, now.mono));
@@ -244,7 +244,7 @@
             self.claims.stand_down(&me, name, now.mono);
             self.resign(name);
             return self.note(
-                "zone: Yielded, cut off from most of it.",
+                "zone: Yielded, cut off from most of its instances.",
                 &me.name,
                 name.to_string(),
             );
@@ -258,6 +258,10 @@
         if let Some(sched) = &mut zone.sched {
             sched.supersede(claim.epoch, now.mono);
         }
-        self.note("zone: Going above a higher token.", &me.name, format!("epoch {}", claim.epoch));
+        self.note(
+            "zone: Claimed again above a higher token.",
+            &me.name,
+            format!("epoch {}", claim.epoch),
+        );
     }
 }
--- a/crates/dispatch/src/session.rs
+++ b/crates/dispatch/src/session.rs
@@ -112,11 +112,14 @@
     pub(crate) number: u64,
     pub(crate) fence: u64,
     pub(crate) owned: bool,
-    pub(crate) silent: Option<u64>,
+    /// When the upstream stopped answering; `None` while it answers.
+    pub(crate) silent_since: Option<u64>,
+    /// Number of the last end of a run that the owner has processed.
     pub(crate) seen: u64,
-    pub(crate) full: u64,
+    /// Time until which no task is started there, after a refusal.
+    pub(crate) full_until: u64,
     /// When the owner last learned that a run had ended.
-    pub(crate) freed: u64,
+    pub(crate) freed_at: u64,
     clock: Option<Clock>,
     lease_end: u64,
     hold: Option<(u64, u64)>,
@@ -139,10 +142,10 @@
             number: 0,
             fence,
             owned: false,
-            silent: None,
+            silent_since: None,
             seen: 0,
-            full: 0,
-            freed: 0,
+            full_until: 0,
+            freed_at: 0,
             clock: None,
             lease_end: 0,
             hold: None,
@@ -154,10 +157,10 @@
     /// Whether tasks may be started there.
     pub fn is_open(&self, now: u64) -> bool {
         self.owned
-            && self.silent.is_none()
+            && self.silent_since.is_none()
             && self.record.phase == upstream::Phase::Serving
             && self.clock.is_some()
-            && now >= self.full
+            && now >= self.full_until
     }
 
     /// The factor by which tasks take longer there, where the policy avoids slow upstreams and this
@@ -167,7 +170,7 @@
     }
 
     /// Whether the upstream has answered under the present ownership.
-    pub fn is_read(&self) -> bool {
+    pub fn is_owned(&self) -> bool {
         self.owned
     }
 
@@ -188,12 +191,12 @@
     /// Room that is not taken.
     pub fn free(&self, now: u64) -> upstream::Room {
         let cpu = self.capacity_limit.limit(self.record.room.cpu, now);
-        upstream::Room { cpu, ..self.record.room }.less(self.taken())
+        upstream::Room { cpu, ..self.record.room }.minus(self.taken())
     }
 
     /// Whether the upstream has answered the last call of this owner.
     pub fn is_responsive(&self) -> bool {
-        self.owned && self.silent.is_none()
+        self.owned && self.silent_since.is_none()
     }
 
     /// Whether a call is due.
@@ -206,11 +209,11 @@
         if !self.is_due(now) {
             return None;
         }
-        let (heard, lossy) = (self.is_responsive(), pace.call_timeout.is_lossy());
+        let (responsive, lossy) = (self.is_responsive(), pace.call_timeout.is_lossy());
         let scaled = |wait: u64, longest| {
             (wait * pace.sessions as u64 / UNSCALED_SESSIONS).clamp(wait, longest)
         };
-        let wait = match (heard, self.runs.is_empty()) {
+        let wait = match (responsive, self.runs.is_empty()) {
             (false, _) => 0,
             (true, true) if lossy => scaled(LOSSY_WAIT, MAX_IDLE_WAIT),
             (true, true) => scaled(IDLE_WAIT, MAX_IDLE_WAIT),
@@ -223,7 +226,7 @@
         // stopped ends with its lease, and so within the time after which another scheduler may
         // start its task.
         let wanted = self.runs.is_empty() || self.runs.values().any(|run| run.unwanted.is_none());
-        let until = if heard && wanted { self.grant(lease, now) } else { None };
+        let until = if responsive && wanted { self.grant(lease, now) } else { None };
         self.hold = Some((number, now));
         let order = Order::Hold { seen: self.seen, until, wait };
         // Timers of upstreams may fire late, and the owner would never know whether an answer was
@@ -282,7 +285,7 @@
     /// token.
     pub fn mark_unconfirmed(&mut self, now: u64) {
         self.fence += claim::FENCE_STEP;
-        self.silent.get_or_insert(now);
+        self.silent_since.get_or_insert(now);
         self.hold = None;
         self.retry_at = now;
     }
@@ -298,14 +301,14 @@
 
     /// Handles a refusal by an upstream that has seen a higher token: it obeys another owner for
     /// now.
-    pub fn outranked(&mut self, now: u64) {
+    pub fn mark_outranked(&mut self, now: u64) {
         self.owned = false;
         self.retry_at = now + RETRY_DELAY;
     }
 
     /// Handles a hold without an answer.
-    pub fn note_timeout(&mut self, now: u64) {
-        self.silent.get_or_insert(now);
+    pub fn record_timeout(&mut self, now: u64) {
+        self.silent_since.get_or_insert(now);
         self.retry_at =
             now + if self.failures == 0 { 0 } else { RETRY_DELAY << (self.failures - 1) };
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS + 1);
@@ -314,16 +317,16 @@
     /// Brings the retry forward when an upstream that fell silent at `since` answers again: the
     /// cause may have ended for this upstream as well.
     pub fn retry_with(&mut self, since: u64, now: u64) {
-        let together = self.silent.is_some_and(|own| own.abs_diff(since) <= SILENCE_WINDOW);
+        let together = self.silent_since.is_some_and(|own| own.abs_diff(since) <= SILENCE_WINDOW);
         if together && self.hold.is_none() {
             self.retry_at = self.retry_at.min(now);
         }
     }
 
     /// Handles an answer of the upstream under the present token.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.owned = true;
-        self.silent = None;
+        self.silent_since = None;
         self.failures = 0;
     }
 
--- a/crates/dispatch/src/slow.rs
+++ b/crates/dispatch/src/slow.rs
@@ -6,7 +6,7 @@
 
 impl Sched {
     /// Updates the speed of an upstream from a completed run.
-    pub(crate) fn note_speed(
+    pub(crate) fn record_speed(
         &mut self,
         id: &name::Name,
         parts: &timing::Breakdown,
@@ -19,7 +19,7 @@
         }
         let ratio = parts.work as f64 / (estimate * time::MS) as f64;
         let was_slow = session.speed.is_slow(now);
-        session.speed.note(self.usual.note(ratio), now);
+        session.speed.record(self.usual_ratio.record(ratio), now);
         self.log_slowness(id, was_slow, now);
     }
 
@@ -32,7 +32,7 @@
         now: u64,
     ) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        let usual = self.usual;
+        let usual = self.usual_ratio;
         let pace = |row: &Running| {
             let run = session.runs.get(&row.task).filter(|run| run.attempt == row.attempt)?;
             let whole = speed::projected(run.timing?.elapsed(clock)?, row.percent)?;
--- a/crates/dispatch/src/speed.rs
+++ b/crates/dispatch/src/speed.rs
@@ -26,14 +26,14 @@
 
 /// The usual ratio of the actual duration of runs to the declared one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usual {
+pub struct UsualRatio {
     /// Logarithm of the usual ratio.
     log: f64,
 }
 
-impl Usual {
+impl UsualRatio {
     /// Adds a completed run and returns its ratio relative to the usual one.
-    pub fn note(&mut self, ratio: f64) -> f64 {
+    pub fn record(&mut self, ratio: f64) -> f64 {
         let log = ratio.clamp(1.0 / MAX_RATIO, MAX_RATIO).ln();
         let relative = (log - self.log).exp();
         self.log += USUAL_WEIGHT * (log - self.log);
@@ -58,7 +58,7 @@
 
 impl Speed {
     /// Adds a completed run with this ratio.
-    pub fn note(&mut self, ratio: f64, now: u64) {
+    pub fn record(&mut self, ratio: f64, now: u64) {
         self.log = average(self.decayed(now), ratio);
         self.updated = now;
     }
--- a/crates/dispatch/src/start.rs
+++ b/crates/dispatch/src/start.rs
@@ -8,7 +8,7 @@
     job::{self, Task},
     order::Order,
     place, queue,
-    sched::{Sched, Sent},
+    sched::{CallPurpose, Sched},
     session::{Run, Stage},
     suspect, time, timing,
 };
@@ -22,24 +22,26 @@
     /// Places waiting tasks, job by job in the order of the queue.
     pub(crate) fn dispatch(
         &mut self,
-        alive: &impl Fn(&name::Name) -> Option<u64>,
+        clock_of: &impl Fn(&name::Name) -> Option<u64>,
         suspects: &suspect::Suspects,
         now: u64,
     ) {
         if self.jobs.values().all(|active| active.waiting() == 0) {
             return;
         }
-        let unread = self.sessions.values().any(|session| !session.is_read());
+        let has_unowned = self.sessions.values().any(|session| !session.is_owned());
         // A time later than the entry's clock comes from a former incarnation of the entry.
         let fresh = |active: &ActiveJob| {
             let is_fresh =
                 |clock| (active.entry_clock..=active.entry_clock + MAX_QUERY_AGE).contains(&clock);
-            alive(&active.entry).is_some_and(is_fresh)
+            clock_of(&active.entry).is_some_and(is_fresh)
         };
         let mut placement = place::Placement::new(&self.sessions, suspects, self.policy, now);
         let most = placement.max_free();
         let waits = |active: &&ActiveJob| {
-            active.waiting() > 0 && !active.is_blocked(unread, now) && active.job.min_cpu() <= most
+            active.waiting() > 0
+                && !active.is_blocked(has_unowned, now)
+                && active.job.min_cpu() <= most
         };
         let load = self.load(now);
         let congested = self.policy.shortest_first && queue::is_congested(load);
@@ -70,9 +72,9 @@
         if !active.started {
             self.out.measures.push(event::Measure::FirstWait(waited));
         }
-        let idle = waited.min(now.saturating_sub(session.freed));
+        let idle = waited.min(now.saturating_sub(session.freed_at));
         self.out.measures.push(event::Measure::IdleRoom(idle));
-        active.set(task, Phase::Placed(id.clone()));
+        active.set_phase(task, Phase::Placed(id.clone()));
         let Some(item) = active.task_mut(task) else { return };
         item.attempt += 1;
         let attempt = item.attempt;
@@ -96,7 +98,8 @@
         let (text, subject) = ("job: Starting a task.", task.job.clone());
         self.out.notes.push(event::Note { text, subject, detail });
         let order = Order::Start { task: task.clone(), attempt, spec, until, waited };
-        self.sent.insert(self.number, (id.clone(), now, Sent::Start(task.clone(), attempt)));
+        self.pending_calls
+            .insert(self.number, (id.clone(), now, CallPurpose::Start(task.clone(), attempt)));
         self.out.calls.push(session.call(self.number, order, self.call_timeout.timeout()));
     }
 }
--- a/crates/dispatch/src/status.rs
+++ b/crates/dispatch/src/status.rs
@@ -1,10 +1,10 @@
-//! The figures of an instance for monitoring.
+//! Status of an instance, for monitoring.
 
 use state::name;
 
 use crate::{core::Core, message, sched, session::Session, time, zone};
 
-/// The figures of an instance.
+/// Status of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
     /// Whether it is ready to take requests of clients.
@@ -33,7 +33,7 @@
     pub silent: usize,
     /// Version of the active configuration.
     pub version: u64,
-    /// Number of evacuated zones that this instance knows of.
+    /// Number of evacuated zones that this instance knows.
     pub evacuated: usize,
     /// Revision of the set of evacuated zones.
     pub revision: u64,
@@ -67,16 +67,16 @@
 
 impl Core {
     /// Returns the load of the zones that this instance schedules.
-    pub fn rooms(&self, now: time::Now) -> Vec<ZoneLoad> {
-        let room = |(name, zone): (&name::Name, &zone::Zone)| {
+    pub fn zone_loads(&self, now: time::Now) -> Vec<ZoneLoad> {
+        let zone_load = |(name, zone): (&name::Name, &zone::Zone)| {
             let sched = zone.sched.as_ref()?;
             let (zone, load) = (name.clone(), sched.load(now.mono));
             Some(ZoneLoad { zone, load, waiting: sched.waiting() })
         };
-        self.zones.iter().filter_map(room).collect()
+        self.zones.iter().filter_map(zone_load).collect()
     }
 
-    /// Returns the figures of this instance.
+    /// Returns the status of this instance.
     pub fn status(&self, now: time::Now) -> Status {
         let mut status = Status {
             ready: self.is_ready(now),
@@ -122,6 +122,6 @@
         status.total += load.total as f64 / CORE_UNITS;
         status.upstreams += sched.sessions.len();
         status.ejected += count(&|session| session.health.is_ejected(now));
-        status.silent += count(&|session| session.silent.is_some());
+        status.silent += count(&|session| session.silent_since.is_some());
     }
 }
--- a/crates/dispatch/src/submissions.rs
+++ b/crates/dispatch/src/submissions.rs
@@ -10,7 +10,7 @@
 //! This handles zones of 28 slots with a load of 80% of their capacity and above, and jobs of 8
 //! tasks. One zone or another is full at nearly any time, but all of them are never full together.
 //! Loads in heartbeats are 150 ms old, and two thirds of all slots change their task within that
-//! time, so that the loads only tell which zone to ask first.
+//! time, so that the loads only indicate which zone to ask first.
 
 use std::collections;
 
@@ -25,8 +25,8 @@
     view::View,
 };
 
-/// Interval at which the entry tells a scheduler that it still awaits its jobs, microseconds: a job
-/// that is lost on the way is delayed by little more than this.
+/// Interval at which the entry informs a scheduler that it still awaits its jobs, microseconds: a
+/// job that is lost on the way is delayed by little more than this.
 const AWAIT_INTERVAL: u64 = 300 * time::MS;
 /// How long a job that could not be handed to any scheduler waits before it is refused,
 /// microseconds: the time in which a zone replaces its scheduler (heartbeats missed for 500 ms, and
@@ -50,7 +50,7 @@
 /// wait all incoming jobs would fill the queues of the other zones meanwhile.
 const HOME_WAIT: u64 = 400 * time::MS;
 
-/// Effects collected since the last [`Submissions::take`].
+/// Effects collected since the last [`Submissions::take_output`].
 #[derive(Debug, Default)]
 pub struct Output {
     /// Messages to send, with their receivers.
@@ -85,9 +85,9 @@
     tickets: collections::HashMap<Ticket, name::Name>,
     /// The last known load of each zone, and the time of the message that reported it.
     loads: collections::BTreeMap<name::Name, (Load, u64)>,
-    /// Since when no scheduler is available that could take tasks.
+    /// Time since which no scheduler that could take tasks is available.
     leaderless: Option<u64>,
-    /// Number of the last hand-over.
+    /// Number of the last handover.
     number: u64,
     policy: policy::Policy,
     out: Output,
@@ -95,7 +95,7 @@
 
 /// The scheduler chosen for a set of tasks.
 #[derive(Debug)]
-struct Choice {
+struct ChosenScheduler {
     claim: claim::Claim,
     /// Whether the scheduler returns tasks that it has no room for, so that the entry can ask
     /// others.
@@ -110,7 +110,7 @@
     }
 
     /// Returns the effects collected so far and clears them.
-    pub fn take(&mut self) -> Output {
+    pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Records the load of a zone.
-    pub fn load(&mut self, zone: &name::Name, load: Load, now: u64) {
+    pub fn record_load(&mut self, zone: &name::Name, load: Load, now: u64) {
         self.loads.insert(zone.clone(), (load, now));
     }
 
@@ -177,7 +177,13 @@
     }
 
     /// Handles the verdict of a scheduler on its part of a job.
-    pub fn verdict(&mut self, from: &name::Name, id: &name::Name, decision: &Decision, now: u64) {
+    pub fn handle_verdict(
+        &mut self,
+        from: &name::Name,
+        id: &name::Name,
+        decision: &Decision,
+        now: u64,
+    ) {
         let Some(open) = self.open.get_mut(id) else { return };
         match &decision.verdict {
             Verdict::Complete => {
@@ -214,7 +220,7 @@
     /// Handles a scheduler's report that it does not know the tasks assigned to it. The next tick
     /// hands them over again, not this call: an instance that no longer schedules the zone would
     /// otherwise be asked as fast as it answers.
-    pub fn unknown(&mut self, from: &name::Name, id: &name::Name, number: u64) {
+    pub fn handle_unknown(&mut self, from: &name::Name, id: &name::Name, number: u64) {
         let Some(open) = self.open.get_mut(id) else { return };
         let is_meant =
             |part: &&mut assignment::Assignment| part.number == number && part.is_with(from);
@@ -225,31 +231,32 @@
 
     /// Handles tasks that a scheduler returns because it has no room for them; the next scheduler
     /// may have some.
-    pub fn spare(
+    pub fn handle_returned(
         &mut self,
         from: &name::Name,
         id: &name::Name,
-        spare: &ReturnedTasks,
+        returned: &ReturnedTasks,
         view: View<'_>,
     ) {
         let number = self.next_number(view.now);
         let Some(open) = self.open.get_mut(id) else { return };
-        let is_meant =
-            |part: &&mut assignment::Assignment| part.number == spare.number && part.is_with(from);
+        let is_meant = |part: &&mut assignment::Assignment| {
+            part.number == returned.number && part.is_with(from)
+        };
         let Some(part) = open.parts.iter_mut().find(is_meant) else { return };
         if let Some(claim) = &part.claim {
-            self.loads.insert(claim.zone.clone(), (spare.load, view.now));
+            self.loads.insert(claim.zone.clone(), (returned.load, view.now));
         }
         let count = open.job.steps.first().map_or(0, |step| step.count);
         let mut kept = part.share.clone();
-        let tasks = kept.remove(&spare.tasks, count);
+        let tasks = kept.remove(&returned.tasks, count);
         if tasks.is_empty() {
             return;
         }
-        open.may_have_started |= spare.may_have_started;
+        open.may_have_started |= returned.may_have_started;
         if kept.is_empty() {
-            part.returned();
-            return self.assign(id, spare.number, view);
+            part.mark_returned();
+            return self.assign(id, returned.number, view);
         }
         part.share = kept;
         let rest = part.split(number, tasks, view.now);
@@ -321,7 +328,7 @@
         }
     }
 
-    /// Tells the schedulers that no client awaits the job any more.
+    /// Informs the schedulers that no client awaits the job any more.
     fn cancel(&mut self, id: &name::Name, open: &OpenJob) {
         let holders = open.parts.iter().filter_map(|part| part.claim.as_ref());
         let cancels = holders.map(|claim| (claim.holder.clone(), Body::Cancel(id.clone())));
@@ -344,18 +351,18 @@
         let at = open.join(at, &choice.claim);
         let may_have_started = open.may_have_started || open.parts.len() > 1;
         let part = &mut open.parts[at];
-        let told = view.reported_digest(&choice.claim).unwrap_or(0);
+        let digest = view.reported_digest(&choice.claim).unwrap_or(0);
         let handover = Handover {
             number: next,
             share: part.share.clone(),
             offer: choice.offer,
             may_have_started,
-            upstreams: told,
+            upstreams: digest,
             former: part.former_digests.clone(),
             release_age: part.since_asked(view.now),
         };
         part.number = next;
-        part.last_digest = told;
+        part.last_digest = digest;
         part.last_asked = view.now;
         part.handed_over = true;
         part.lost_since = None;
@@ -395,10 +402,10 @@
     ) {
         let need = job.max_cpu() as i64 * i64::from(count);
         let mut free = 0;
-        if let Some((load, told)) = self.loads.get_mut(&claim.zone) {
+        if let Some((load, reported_at)) = self.loads.get_mut(&claim.zone) {
             load.free -= need;
             free = load.free;
-            self.out.measures.push(Measure::LoadAge(job.entry_clock.saturating_sub(*told)));
+            self.out.measures.push(Measure::LoadAge(job.entry_clock.saturating_sub(*reported_at)));
         }
         let detail = format!(
             "{count} tasks to {} in {}, epoch {}, {free}m of its free cores left by its last word, \
@@ -427,12 +434,12 @@
         open: &OpenJob,
         part: &assignment::Assignment,
         view: View<'_>,
-    ) -> Option<Choice> {
+    ) -> Option<ChosenScheduler> {
         let home = &view.membership.me().zone;
         let reached = |claim: &&claim::Claim| view.membership.is_holder_alive(claim, view.now);
         if let Some(zone) = &part.pinned_zone {
             let claim = view.claims.of(zone).filter(reached)?.clone();
-            return Some(Choice { claim, offer: false });
+            return Some(ChosenScheduler { claim, offer: false });
         }
         let able: smallvec::SmallVec<[&claim::Claim; 8]> =
             view.claims.iter().filter(reached).filter(|claim| view.is_open(&claim.zone)).collect();
@@ -440,9 +447,10 @@
         let is_hopeful = |claim: &&&claim::Claim| {
             !part.full_zones.contains(&claim.zone) && !self.is_full(&claim.zone, min_cpu, view.now)
         };
-        let freshest = able.iter().filter_map(|claim| view.heard(claim)).max().unwrap_or(0);
+        let freshest =
+            able.iter().filter_map(|claim| view.last_heartbeat_at(claim)).max().unwrap_or(0);
         let late = |claim: &claim::Claim| {
-            view.heard(claim).is_some_and(|heard| freshest >= heard + LATE_AFTER)
+            view.last_heartbeat_at(claim).is_some_and(|at| freshest >= at + LATE_AFTER)
         };
         let order =
             |claim: &&&claim::Claim| (!late(claim), claim.zone == *home, self.free(&claim.zone));
@@ -452,7 +460,7 @@
         if self.policy.sharing && several && open.job.is_divisible() && !part.resumed {
             let next = able.iter().filter(is_hopeful).max_by_key(order);
             if let Some(claim) = next {
-                return Some(Choice { claim: (*claim).clone(), offer: true });
+                return Some(ChosenScheduler { claim: (*claim).clone(), offer: true });
             }
         }
         let need = open.job.max_cpu() as i64 * i64::from(part.share.len(open.job.count()));
@@ -465,7 +473,7 @@
         if homeless && fresh && self.free(&claim.zone) < need {
             return None;
         }
-        Some(Choice { claim, offer: false })
+        Some(ChosenScheduler { claim, offer: false })
     }
 
     /// The free cores of a zone by its last known load, less those that its waiting tasks need, in
--- a/crates/dispatch/src/suspect.rs
+++ b/crates/dispatch/src/suspect.rs
@@ -1,9 +1,9 @@
 //! Detects tasks that crash the upstreams on which they start.
 //!
-//! This handles a task that ends every upstream incarnation on which it starts, together with all
-//! the runs beside it. Nothing shows which of the tasks on a lost upstream was at fault, so all of
-//! them are suspects until they complete. The scheduler keeps suspects apart from one another and
-//! runs them where the least work would be lost ([`crate::place`]), so that a second loss
+//! This handles a task that crashes every upstream incarnation on which it starts, together with
+//! all the runs beside it. Nothing shows which of the tasks on a lost upstream was at fault, so all
+//! of them are suspects until they complete. The scheduler keeps suspects apart from one another
+//! and runs them where the least work would be lost ([`crate::place`]), so that a second loss
 //! identifies the task at fault; the scheduler then gives it up.
 //!
 //! An upstream that returns as a new incarnation proves the loss. One that stays silent until its
--- a/crates/dispatch/src/timing.rs
+++ b/crates/dispatch/src/timing.rs
@@ -80,7 +80,7 @@
     }
 
     /// Parses the output of [`fmt::Display`] in a log line, in milliseconds.
-    pub fn read(line: &str) -> Option<Self> {
+    pub fn parse(line: &str) -> Option<Self> {
         let (_, list) = line.split_once(PREFIX)?;
         let part = |name: &str| {
             let (_, rest) = list.split_once(name)?;
--- a/crates/dispatch/src/upkeep.rs
+++ b/crates/dispatch/src/upkeep.rs
@@ -8,7 +8,7 @@
     job::{Refusal, Verdict},
     order::Order,
     peer, queue,
-    sched::{Sched, Sent},
+    sched::{CallPurpose, Sched},
     session::{Session, Stage},
     suspect, time, upstream,
 };
@@ -24,12 +24,16 @@
 const GIVE_UP_AFTER: u64 = 12_000 * time::MS;
 
 impl Sched {
-    /// Drops jobs for which no entry waits, so that another scheduler may take them.
-    pub(crate) fn drop_abandoned(&mut self, alive: &impl Fn(&name::Name) -> Option<u64>, now: u64) {
+    /// Drops jobs for which no entry waits any more, so that another scheduler may take them.
+    pub(crate) fn drop_abandoned(
+        &mut self,
+        clock_of: &impl Fn(&name::Name) -> Option<u64>,
+        now: u64,
+    ) {
         let is_abandoned = |active: &ActiveJob| {
             // The age of a query counts from when the entry sent it: a query that was delayed on
             // its way does not show that the entry still waits.
-            match alive(&active.entry) {
+            match clock_of(&active.entry) {
                 Some(clock) => {
                     clock >= active.entry_clock + ABANDON_AFTER
                         || now >= active.last_awaited + ABANDON_AFTER
@@ -39,13 +43,13 @@
         };
         let abandoned = self.jobs.iter().filter(|(_, active)| is_abandoned(active));
         for id in abandoned.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
-            self.note("job: Dropped, its entry is not heard.", &id, "");
+            self.note("job: Dropped, no recent query from its entry.", &id, "");
             self.drop_job(&id);
         }
     }
 
     /// Ends jobs that can no longer be answered in time.
-    pub(crate) fn expire(&mut self, now: u64) {
+    pub(crate) fn expire_jobs(&mut self, now: u64) {
         let mut expired = Vec::new();
         let policy = self.policy;
         let overloaded = policy.refuse_late && queue::is_overloaded(self.load(now));
@@ -73,7 +77,8 @@
     pub(crate) fn expire_leases(&mut self, now: u64) {
         let mut lapsed = Vec::new();
         for (id, session) in &mut self.sessions {
-            if session.silent.is_some() && session.has_lapsed(now) && !session.runs.is_empty() {
+            if session.silent_since.is_some() && session.has_lapsed(now) && !session.runs.is_empty()
+            {
                 session.lapsed = std::mem::take(&mut session.runs).into_keys().collect();
                 lapsed.push((id.clone(), session.lapsed.clone(), session.record.phase));
             }
@@ -92,9 +97,9 @@
     /// stop orders.
     pub(crate) fn mark_orphans(&mut self, now: u64) {
         let due = |at: u64| now >= at;
-        let orphans = self.orphans.iter().filter(|(_, at)| due(**at));
+        let orphans = self.orphan_runs.iter().filter(|(_, at)| due(**at));
         for task in orphans.map(|(task, _)| task.clone()).collect::<Vec<_>>() {
-            self.orphans.remove(&task);
+            self.orphan_runs.remove(&task);
             for session in self.sessions.values_mut() {
                 if let Some(run) = session.runs.get_mut(&task) {
                     run.unwanted.get_or_insert(0);
@@ -106,7 +111,7 @@
     /// Sends stop orders for unwanted runs, and repeats them while a run goes on.
     pub(crate) fn send_stops(&mut self, now: u64) {
         for (id, session) in &mut self.sessions {
-            if !session.owned || session.silent.is_some() {
+            if !session.owned || session.silent_since.is_some() {
                 continue;
             }
             let mut stops = Vec::new();
@@ -120,7 +125,7 @@
             for (task, attempt) in stops {
                 self.number += 1;
                 let order = Order::Stop { task: task.clone(), attempt };
-                self.sent.insert(self.number, (id.clone(), now, Sent::Stop));
+                self.pending_calls.insert(self.number, (id.clone(), now, CallPurpose::Stop));
                 self.out.calls.push(session.call(self.number, order, self.call_timeout.timeout()));
             }
         }
@@ -128,8 +133,11 @@
 
     pub(crate) fn give_up_lost(&mut self, now: u64) {
         let is_lost = |session: &Session| {
-            let since =
-                if session.owned { session.silent } else { Some(session.silent.unwrap_or(now)) };
+            let since = if session.owned {
+                session.silent_since
+            } else {
+                Some(session.silent_since.unwrap_or(now))
+            };
             since.is_some_and(|since| now >= since + GIVE_UP_AFTER) && session.runs.is_empty()
         };
         let lost =
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -59,7 +59,7 @@
 
     /// This room without `other`; no resource falls below zero.
     #[must_use]
-    pub fn less(self, other: Self) -> Self {
+    pub fn minus(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(other.cpu),
             memory: self.memory.saturating_sub(other.memory),
@@ -120,9 +120,9 @@
 
     /// Merges a record, and returns the record now known of the upstream if it has changed apart
     /// from the serial number.
-    pub fn take(&mut self, record: Record) -> Option<Record> {
+    pub fn merge(&mut self, record: Record) -> Option<Record> {
         let id = record.id.clone();
-        let changed = self.merge(record);
+        let changed = self.merge_record(record);
         self.records.get(&id).filter(|_| changed).cloned()
     }
 
@@ -130,7 +130,7 @@
     ///
     /// An old record may still announce a larger room than the known one, where this instance
     /// learned of the upstream later than others.
-    fn merge(&mut self, mut record: Record) -> bool {
+    fn merge_record(&mut self, mut record: Record) -> bool {
         record.most = record.most.most(record.room);
         let Some(held) = self.records.get_mut(&record.id) else {
             self.digests.remove(&record.zone);
--- a/crates/dispatch/src/view.rs
+++ b/crates/dispatch/src/view.rs
@@ -26,13 +26,13 @@
         if claim.holder == self.membership.me().name {
             return Some(self.upstreams);
         }
-        let heard = self.membership.last_heartbeat(&claim.holder)?;
+        let ack = self.membership.last_heartbeat(&claim.holder)?;
         let zone = &self.membership.peer(&claim.holder)?.card.as_ref()?.zone;
-        heard.set(&claim.zone, zone).filter(|_| heard.incarnation == claim.incarnation)
+        ack.digest_of(&claim.zone, zone).filter(|_| ack.incarnation == claim.incarnation)
     }
 
     /// Time of the last heartbeat from the holder of a claim, in microseconds.
-    pub(crate) fn heard(&self, claim: &claim::Claim) -> Option<u64> {
+    pub(crate) fn last_heartbeat_at(&self, claim: &claim::Claim) -> Option<u64> {
         if claim.holder == self.membership.me().name {
             return Some(self.now);
         }
--- a/crates/dispatch/src/watch_list.rs
+++ b/crates/dispatch/src/watch_list.rs
@@ -84,7 +84,7 @@
 
     /// Whether two instances always exchange heartbeats: one of them watches the other, which
     /// answers its heartbeats.
-    pub fn linked(&self, a: &member::Card, b: &member::Card) -> bool {
+    pub fn is_linked(&self, a: &member::Card, b: &member::Card) -> bool {
         let window =
             |card: &member::Card| if card.role == member::Role::Keeper { FRONT } else { HUBS };
         self.watches(a, b, window(a)) || self.watches(b, a, window(b))
--- a/crates/dispatch/src/zone.rs
+++ b/crates/dispatch/src/zone.rs
@@ -20,7 +20,7 @@
 
 impl Zone {
     /// Applies a new record of an upstream.
-    pub(crate) fn record(&mut self, record: &upstream::Record) {
+    pub(crate) fn apply_record(&mut self, record: &upstream::Record) {
         if record.phase == upstream::Phase::Gone {
             // Other instances gave this upstream up. While this scheduler has tasks running there,
             // a successor has to know of the upstream.
--- a/crates/dispatch/src/zones.rs
+++ b/crates/dispatch/src/zones.rs
@@ -80,8 +80,8 @@
     /// Whether this instance receives direct heartbeats from most of the hubs of another zone.
     pub fn reaches(&self, zone: &name::Name, now: u64) -> bool {
         let hubs = self.hubs(zone);
-        let heard = hubs.iter().filter(|name| self.is_direct(name, now)).count();
-        heard * 2 > hubs.len()
+        let direct = hubs.iter().filter(|name| self.is_direct(name, now)).count();
+        direct * 2 > hubs.len()
     }
 
     /// Whether no instance of a zone could schedule it as well as a keeper of another zone: no
@@ -89,8 +89,8 @@
     /// has too little CPU time for the zone and receives no heartbeats of a scheduler.
     pub fn is_orphan(&self, zone: &name::Name, now: u64) -> bool {
         let hubs = self.hubs(zone);
-        let heard = hubs.iter().filter(|name| self.is_direct(name, now));
-        let pings = heard.filter_map(|name| self.peers.get(name)?.ping.as_ref());
+        let direct = hubs.iter().filter(|name| self.is_direct(name, now));
+        let pings = direct.filter_map(|name| self.peers.get(name)?.ping.as_ref());
         !self.has_keeper(zone, now)
             && self.reaches(zone, now)
             && pings.into_iter().all(|ping| ping.low_capacity && !ping.led)
--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -174,7 +174,7 @@
             self.sched.give_up(&given_up, self.now);
         }
         self.sched.run(|_| Some(self.now), &self.suspects, self.now);
-        let calls = self.sched.take().calls;
+        let calls = self.sched.take_output().calls;
         let holds = calls.iter().filter(|call| matches!(call.order, Order::Hold { .. }));
         self.holds.extend(holds.map(|call| (call.upstream.clone(), call.clone())));
         calls
--- a/crates/dispatch/tests/late.rs
+++ b/crates/dispatch/tests/late.rs
@@ -18,7 +18,7 @@
             world.run(100);
         }
         world.run(6_000);
-        let dropped = world.notes.get("job: Dropped, its entry is not heard.").copied();
+        let dropped = world.notes.get("job: Dropped, no recent query from its entry.").copied();
         results.push((delay, world.complete(), dropped.unwrap_or(0)));
     }
     assert!(results.iter().all(|(_, complete, _)| *complete > 20), "{results:?}");
--- a/crates/dispatch/tests/news.rs
+++ b/crates/dispatch/tests/news.rs
@@ -160,7 +160,7 @@
         if !answers(&source, number) {
             continue;
         }
-        match fetch.take(&source, &fetch::part(document, request).unwrap(), now) {
+        match fetch.add_part(&source, &fetch::part(document, request).unwrap(), now) {
             Progress::More(request) => next = Some((source, request)),
             Progress::Complete(fetched) => return (fetched, requests),
             Progress::Ignored => panic!("a requested part was ignored"),
@@ -192,12 +192,13 @@
     let one: Name = "one".into();
     let mut fetch = Fetch::default();
     let (_, request) = fetch.begin(2, &[&one], 0).unwrap();
-    let Progress::More(request) = fetch.take(&one, &fetch::part(&held, request).unwrap(), 0) else {
+    let Progress::More(request) = fetch.add_part(&one, &fetch::part(&held, request).unwrap(), 0)
+    else {
         panic!("the document has more than one part");
     };
     let first = fetch::part(&newer, request).unwrap();
     assert_eq!((first.version, first.offset), (5, 0));
-    let Progress::More(request) = fetch.take(&one, &first, 0) else {
+    let Progress::More(request) = fetch.add_part(&one, &first, 0) else {
         panic!("the document has more than one part")
     };
     assert_eq!(request, PartRequest { version: 5, offset: 65_536 });
@@ -207,10 +208,10 @@
         offset: 65_536,
         ..fetch::part(&held, PartRequest { version: 2, offset: 0 }).unwrap()
     };
-    assert_eq!(fetch.take(&one, &late, 0), Progress::Ignored);
-    assert_eq!(fetch.take(&one, &first, 0), Progress::Ignored);
+    assert_eq!(fetch.add_part(&one, &late, 0), Progress::Ignored);
+    assert_eq!(fetch.add_part(&one, &first, 0), Progress::Ignored);
     let last = fetch::part(&newer, request).unwrap();
-    assert_eq!(fetch.take(&one, &last, 0), Progress::Complete(newer));
+    assert_eq!(fetch.add_part(&one, &last, 0), Progress::Complete(newer));
 }
 
 #[test]
@@ -232,7 +233,7 @@
     for _ in 0..3 {
         now += 20 * MS;
         let Progress::More(next) =
-            fetch.take(&source, &fetch::part(&document, request).unwrap(), now)
+            fetch.add_part(&source, &fetch::part(&document, request).unwrap(), now)
         else {
             panic!("the document has more than one part")
         };
--- a/crates/dispatch/tests/owner.rs
+++ b/crates/dispatch/tests/owner.rs
@@ -51,7 +51,7 @@
         self.sched.renew_awaited(&awaited, &"entry".into(), self.now, self.now);
         self.sched.tick(|_| Some(self.now), self.now);
         self.sched.run(|_| Some(self.now), &Suspects::default(), self.now);
-        let out = self.sched.take();
+        let out = self.sched.take_output();
         self.verdicts.extend(out.verdicts);
         out.calls
     }
@@ -166,7 +166,7 @@
     let calls = harness.calls();
     let hold = calls.iter().find(|call| call.upstream.as_str() == "old").unwrap();
     harness.answer(hold, Outcome::Replaced);
-    let gone = harness.sched.take().gone;
+    let gone = harness.sched.take_output().gone;
     assert_eq!(gone, [(Name::new("old"), true)]);
     assert!(
         harness.sched.sessions.contains_key("new") && !harness.sched.sessions.contains_key("old")
@@ -228,7 +228,7 @@
     for number in 0..20 {
         harness.sched.submit(job(&format!("j{number}"), 1), &"entry".into(), harness.now);
     }
-    let refused = harness.sched.take().verdicts;
+    let refused = harness.sched.take_output().verdicts;
     assert_eq!(refused, []);
 }
 
@@ -240,7 +240,7 @@
     let calls = harness.calls();
     let hold = calls.iter().find(|call| is_hold(call)).unwrap();
     harness.answer(hold, held(vec![], vec![ended(1, "j", 0, End::Failed)], harness.now));
-    let verdicts = harness.sched.take().verdicts;
+    let verdicts = harness.sched.take_output().verdicts;
     let (number, share) = (0, Share::ALL);
     let decision = Decision { number, share, verdict: Verdict::Failed };
     assert_eq!(verdicts, [("entry".into(), "j".into(), decision)]);
@@ -250,5 +250,5 @@
 fn outranked() {
     let (mut harness, holds) = Harness::new(&["u1"]);
     harness.answer(&holds[0], Outcome::Refused(Reason::Fence, Some(CLOCK)));
-    assert_eq!(harness.sched.take().outranked, [Name::new("u1")]);
+    assert_eq!(harness.sched.take_output().outranked, [Name::new("u1")]);
 }
--- a/crates/dispatch/tests/room.rs
+++ b/crates/dispatch/tests/room.rs
@@ -133,7 +133,7 @@
         self.now += ms * MS;
         self.sched.tick(|_| Some(self.now), self.now);
         self.sched.run(|_| Some(self.now), &Suspects::default(), self.now);
-        let out = self.sched.take();
+        let out = self.sched.take_output();
         self.calls.extend(out.calls);
         self.verdicts.extend(out.verdicts.into_iter().map(|(_, _, decision)| decision.verdict));
     }
--- a/crates/dispatch/tests/stopped.rs
+++ b/crates/dispatch/tests/stopped.rs
@@ -48,7 +48,7 @@
     fn calls(&mut self) -> Vec<Call> {
         self.sched.tick(|_| Some(self.now), self.now);
         self.sched.run(|_| Some(self.now), &Suspects::default(), self.now);
-        self.sched.take().calls
+        self.sched.take_output().calls
     }
 
     fn answer(&mut self, call: &Call, running: Vec<Running>, ended: Vec<Ended>) {
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -235,7 +235,7 @@
         world.start(0);
         load(&mut world, 3, 4_000, 40);
         let claims = world.notes["zone: Scheduling."];
-        let overruled = world.notes.get("zone: Going above a higher token.");
+        let overruled = world.notes.get("zone: Claimed again above a higher token.");
         assert_eq!((claims, overruled), (1, None), "seed {seed}");
         assert_eq!(world.schedulers(0), [0], "seed {seed}");
         world.run(3_000);
@@ -404,7 +404,7 @@
     world.notes.clear();
     cut(&mut world, true);
     world.run(4_000);
-    assert!(world.notes.contains_key("zone: Yielded, cut off from most of it."));
+    assert!(world.notes.contains_key("zone: Yielded, cut off from most of its instances."));
     cut(&mut world, false);
     world.run(3_000);
     assert_eq!(world.schedulers(0).len(), 1, "one instance schedules the zone");
--- a/crates/dispatch/tests/timing.rs
+++ b/crates/dispatch/tests/timing.rs
@@ -21,8 +21,8 @@
     assert_eq!(whole, Breakdown { handed: 2 * MS, waited: 40 * MS, ..PARTS });
     let text = "last task: handed 2 ms, waited 40 ms, order 4 ms, work 200 ms, told 6 ms";
     assert_eq!(whole.to_string(), text);
-    assert_eq!(Breakdown::read(&format!("Complete, {whole}")), Some(whole));
-    assert_eq!(Breakdown::read("Complete"), None);
+    assert_eq!(Breakdown::parse(&format!("Complete, {whole}")), Some(whole));
+    assert_eq!(Breakdown::parse("Complete"), None);
 }
 
 #[test]
--- a/crates/dispatch/tests/world/effect.rs
+++ b/crates/dispatch/tests/world/effect.rs
@@ -75,7 +75,7 @@
                 }
                 self.push(self.now + 9 * MS, Action::Saved { to: (at, generation), number });
             }
-            Output::Redial(to) => {
+            Output::Reconnect(to) => {
                 *self.redials.entry(at).or_default() += 1;
                 if let Some(to) = self.instances.iter().position(|i| i.card.name == to) {
                     self.stalled.remove(&(at, to));
