--- a/crates/apricotroute/src/cli.rs
+++ b/crates/apricotroute/src/cli.rs
@@ -281,12 +281,12 @@
 fn show_losses(mut arguments: Arguments) -> Outcome {
     const WINDOW: u32 = 2;
     let window = options::option(&mut arguments, "--window", WINDOW)?;
-    output::text(losses::Losses::read(&files(arguments)?, window)?);
+    output::text(losses::Losses::read(&file_arguments(arguments)?, window)?);
     Ok(process::ExitCode::SUCCESS)
 }
 
 /// Returns the remaining arguments as file paths; at least one is required.
-fn files(arguments: Arguments) -> error::Result<Vec<path::PathBuf>> {
+fn file_arguments(arguments: Arguments) -> error::Result<Vec<path::PathBuf>> {
     let files: Vec<_> = arguments.finish().into_iter().map(path::PathBuf::from).collect();
     if files.is_empty() {
         return Err(error_stack::Report::new(error::Error::new("read argument", "FILE")));
@@ -297,7 +297,7 @@
 fn explain_request(mut arguments: Arguments) -> Outcome {
     const NOT_FOUND: u8 = 1;
     let id = positional(&mut arguments, "ID")?;
-    let timeline = explain::Timeline::read(&id, &files(arguments)?)?;
+    let timeline = explain::Timeline::read(&id, &file_arguments(arguments)?)?;
     output::text(&timeline);
     Ok(process::ExitCode::from(if timeline.is_empty() { NOT_FOUND } else { 0 }))
 }
@@ -363,7 +363,7 @@
 
 /// Parses the options that all stand-ins of the command share.
 fn upstream_options(arguments: &mut Arguments) -> error::Result<standin::Options> {
-    let fault = |key: &'static str| move || error::Error::new("read argument", key);
+    let context = |key: &'static str| move || error::Error::new("read argument", key);
     let to = options::required(arguments, "--to")?;
     let mode: String = options::option(arguments, "--mode", "answer".to_owned())?;
     let mode = match mode.as_str() {
@@ -375,12 +375,12 @@
             return Err(error_stack::Report::new(error::Error::new("unknown mode", mode)));
         }
     };
-    let cores = arguments.opt_value_from_str("--cores").change_context_lazy(fault("--cores"))?;
+    let cores = arguments.opt_value_from_str("--cores").change_context_lazy(context("--cores"))?;
     let memory =
-        arguments.opt_value_from_str("--memory-mb").change_context_lazy(fault("--memory-mb"))?;
+        arguments.opt_value_from_str("--memory-mb").change_context_lazy(context("--memory-mb"))?;
     let accelerators = arguments
         .opt_value_from_str("--accelerators")
-        .change_context_lazy(fault("--accelerators"))?;
+        .change_context_lazy(context("--accelerators"))?;
     Ok(standin::Options {
         name: options::option(arguments, "--name", "u1".to_owned())?,
         service: options::option(arguments, "--service", "polish-board".to_owned())?,
@@ -391,7 +391,7 @@
         service_time: time::Duration::from_millis(options::option(arguments, "--service-ms", 50)?),
         tail: options::option(arguments, "--tail", 0)?,
         mode,
-        log: arguments.opt_value_from_str("--log").change_context_lazy(fault("--log"))?,
+        log: arguments.opt_value_from_str("--log").change_context_lazy(context("--log"))?,
         capacity: (cores, memory, accelerators),
     })
 }
--- a/crates/apricotroute/src/client.rs
+++ b/crates/apricotroute/src/client.rs
@@ -25,12 +25,12 @@
 
 /// Handles HTTP requests of clients and upstreams.
 #[derive(Clone, Debug)]
-pub struct ClientApi {
+pub struct ClientHandler {
     /// Name of the instance.
     pub instance: name::Name,
     /// Its availability zone.
     pub zone: name::Name,
-    /// Handle on the control thread.
+    /// Handle to the control thread.
     pub control: control::Control,
     /// Threads that parse and serialize JSON.
     pub pool: sync::Arc<pool::Pool>,
@@ -38,20 +38,20 @@
     pub spans: span::Spans,
 }
 
-impl http::Handler for ClientApi {
+impl http::Handler for ClientHandler {
     fn handle(&self, request: Request, responder: Responder) {
-        let api = self.clone();
-        self.pool.run(move || api.route(&request, responder));
+        let handler = self.clone();
+        self.pool.run(move || handler.route(&request, responder));
     }
 
-    fn fault(&self, error: http::RequestError) -> Response {
-        reply::body_error(error, self.instance.as_str())
+    fn reject(&self, error: http::RequestError) -> Response {
+        reply::body_error_response(error, self.instance.as_str())
     }
 }
 
 /// A request that waits for the reply of the control thread.
 struct Pending {
-    api: ClientApi,
+    handler: ClientHandler,
     responder: Responder,
     name: &'static str,
     job: String,
@@ -61,12 +61,12 @@
     start: time::SystemTime,
 }
 
-impl ClientApi {
+impl ClientHandler {
     fn route(&self, request: &Request, responder: Responder) {
         let path = request.path.as_str();
         match (request.method.as_str(), path) {
             ("GET", "/healthz") => responder.send(Response::text(200, "alive\n")),
-            ("GET", "/readyz") => responder.send(readiness(&self.control)),
+            ("GET", "/readyz") => responder.send(readiness_response(&self.control)),
             ("POST", "/v1/jobs") => self.submit(request, responder),
             ("POST", "/v1/upstreams") => self.announce(request, responder),
             (method, _) => {
@@ -77,15 +77,15 @@
                 } else if let Some(upstream) = path.strip_prefix("/v1/upstreams/") {
                     self.withdraw(method, upstream, responder);
                 } else {
-                    let known_path = matches!(path, "/v1/jobs" | "/v1/upstreams");
-                    responder.send(self.no_route(known_path));
+                    let is_known = matches!(path, "/v1/jobs" | "/v1/upstreams");
+                    responder.send(self.no_route(is_known));
                 }
             }
         }
     }
 
-    fn no_route(&self, known_path: bool) -> Response {
-        let (status, why) = if known_path {
+    fn no_route(&self, is_known: bool) -> Response {
+        let (status, why) = if is_known {
             (405, "the path does not support this method")
         } else {
             (404, "no such path")
@@ -109,7 +109,7 @@
             request.header("traceparent").and_then(|text| text.parse().ok());
         let context = parent.map_or_else(trace::Context::new, |parent| parent.child());
         Pending {
-            api: self.clone(),
+            handler: self.clone(),
             responder,
             name,
             job: job.to_owned(),
@@ -264,15 +264,15 @@
         {
             // The responder was moved into the reply function, which has been dropped, so the
             // client receives status 500.
-            drop(reply::overloaded(peer.as_str()));
+            drop(reply::overload_response(peer.as_str()));
         }
     }
 }
 
 impl Pending {
     fn request(self, event: impl FnOnce(Ticket) -> Event) {
-        let control = self.api.control.clone();
-        let pool = sync::Arc::clone(&self.api.pool);
+        let control = self.handler.control.clone();
+        let pool = sync::Arc::clone(&self.handler.pool);
         let respond: control::ReplyFn = Box::new(move |reply| {
             pool.run(move || self.finish(&reply));
         });
@@ -285,9 +285,9 @@
     }
 
     fn finish(self, reply: &Reply) {
-        let peer = self.api.instance.as_str();
+        let peer = self.handler.instance.as_str();
         let response = match reply {
-            Reply::Verdict(verdict) => reply::verdict(verdict, &self.job, self.raw, peer),
+            Reply::Verdict(verdict) => reply::verdict_response(verdict, &self.job, self.raw, peer),
             Reply::Cancelled => {
                 let body = proto::json::Running { state: "running", job: self.job.clone() };
                 Response::json(202, serde_json::to_vec(&body).unwrap_or_default())
@@ -298,7 +298,7 @@
             }
             Reply::Withdrawn | Reply::Changed(_) | Reply::Unknown(_) => Response::json(200, "{}"),
         };
-        self.api.spans.record(span::Span {
+        self.handler.spans.record(span::Span {
             context: self.context,
             parent: self.parent,
             name: self.name,
@@ -311,8 +311,8 @@
     }
 }
 
-/// The response of `/readyz`: whether the instance can serve.
-pub fn readiness(control: &control::Control) -> Response {
+/// Returns the response of `/readyz`: whether the instance can serve.
+pub fn readiness_response(control: &control::Control) -> Response {
     if control.view().is_ready() {
         Response::text(200, "ready\n")
     } else {
--- a/crates/apricotroute/src/clock.rs
+++ b/crates/apricotroute/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of this process, which decisions use.
+//! The clocks that scheduling decisions in this process use.
 
 use std::time;
 
--- a/crates/apricotroute/src/control.rs
+++ b/crates/apricotroute/src/control.rs
@@ -14,13 +14,13 @@
 
 use crate::{clock, store};
 
-/// Most inputs that wait for the control thread.
+/// Maximum number of inputs that wait for the control thread.
 const QUEUE_CAPACITY: usize = 65_536;
-/// Most further inputs that are handled before outputs are sent.
+/// Maximum number of further inputs that are handled before outputs are sent.
 const MAX_BATCH: usize = 512;
-/// Shortest interval between checks for state changes to log.
+/// Minimum interval between checks for state changes to log.
 const LOG_INTERVAL: time::Duration = time::Duration::from_millis(200);
-/// Most concurrent calls to upstreams.
+/// Maximum number of concurrent calls to upstreams.
 pub const MAX_CALLS: usize = 2_048;
 
 /// A callback for the reply to a ticket. It runs on the control thread and must not block.
@@ -42,7 +42,7 @@
 }
 
 impl View {
-    /// The settings tree in force at this instance.
+    /// Returns the settings tree in effect at this instance.
     pub fn tree(&self) -> sync::Arc<tree::Tree> {
         match self.tree.read() {
             Ok(tree) => sync::Arc::clone(&tree),
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Whether the instance can serve.
+    /// Returns whether the instance can serve.
     pub fn is_ready(&self) -> bool {
         self.ready.load(atomic::Ordering::Relaxed)
     }
 
-    /// Whether the instance drains and all work in progress has ended.
+    /// Returns whether the instance drains and all work in progress has ended.
     pub fn is_drained(&self) -> bool {
         self.drained.load(atomic::Ordering::Relaxed)
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// A handle on the control thread.
+/// A handle to the control thread.
 #[derive(Clone, Debug)]
 pub struct Control {
     sender: crossbeam_channel::Sender<Input>,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The state that other threads read without a request to the control thread.
+    /// Returns the state that other threads read without a request to the control thread.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -174,17 +174,17 @@
     }
 
     fn allows_peer(&self, name: &name::Name) -> bool {
-        self.known.contains(name)
+        self.peers.contains(name)
     }
 }
 
 /// Forwards messages from other instances to the control thread.
 #[derive(Debug)]
 pub struct Inbox {
-    /// Handle on the control thread.
+    /// Handle to the control thread.
     pub control: Control,
     /// Names of the other instances.
-    pub known: collections::BTreeSet<name::Name>,
+    pub peers: collections::BTreeSet<name::Name>,
 }
 
 struct Thread {
@@ -197,7 +197,7 @@
     outbox: peer::Outbox,
     store: Option<crossbeam_channel::Sender<store::Write>>,
     pool: sync::Arc<pool::Pool>,
-    caller: task::Caller,
+    client: task::Client,
     spans: span::Spans,
     forward_spans: collections::HashMap<(name::Name, u64), span::Span>,
     log: slog::Logger,
@@ -221,8 +221,8 @@
         let now = control.clock.now();
         let core = core::Core::new(parts.config, parts.recovered, now);
         control.view.set_tree(core.tree());
-        let report = control.clone();
-        let saved = move |number| report.send(Event::Saved(number));
+        let reporter = control.clone();
+        let saved = move |number| reporter.send(Event::Saved(number));
         let store = parts.store.map(|store| store.run(parts.log.clone(), saved));
         Self {
             control,
@@ -234,7 +234,7 @@
             outbox: parts.outbox,
             store,
             pool: parts.pool,
-            caller: task::Caller::new(),
+            client: task::Client::new(),
             spans: parts.spans,
             forward_spans: collections::HashMap::new(),
             log: parts.log,
@@ -277,7 +277,7 @@
                 if let Event::Peer(from, message::Body::Job(message::Job::Forward { call, spec })) =
                     &mut event
                 {
-                    self.begin_forward_span(&from.clone(), *call, spec);
+                    self.start_forward_span(&from.clone(), *call, spec);
                 }
                 event
             }
@@ -312,7 +312,7 @@
     }
 
     /// Starts a span for a submission that another instance forwarded to this one.
-    fn begin_forward_span(&mut self, from: &name::Name, call: u64, spec: &mut message::Spec) {
+    fn start_forward_span(&mut self, from: &name::Name, call: u64, spec: &mut message::Spec) {
         let parent = spec.trace.as_str().parse::<trace::Context>().ok();
         let context = parent.map_or_else(trace::Context::new, |parent| parent.child());
         spec.trace = name::Name::new(&context.to_string());
@@ -346,24 +346,25 @@
             let saves = std::mem::take(&mut self.saves);
             if let Some(store) = &self.store {
                 // Sending fails once the store thread has ended after a failed write. Nothing is
-                // confirmed from then on, as its voter requires.
+                // confirmed from then on, because the voter must not confirm changes that may
+                // be missing on the disk.
                 drop(store.send(store::Write::Saves(saves)));
             }
         }
     }
 
     fn start(&mut self, start: event::Start) {
-        let (control, caller) = (self.control.clone(), self.caller.clone());
+        let (control, client) = (self.control.clone(), self.client.clone());
         let spans = self.spans.clone();
         self.pool.run(move || {
-            let done = call(&caller, &spans, control.clock, start);
+            let done = call(&client, &spans, control.clock, start);
             control.send(Event::Done(done));
         });
     }
 
     fn stop(&self, stop: event::Stop) {
-        let caller = self.caller.clone();
-        self.pool.run(move || caller.stop(stop.address.as_str(), &task_id(&stop.task)));
+        let client = self.client.clone();
+        self.pool.run(move || client.stop(stop.address.as_str(), &task_id(&stop.task)));
     }
 
     /// Publishes readiness and logs changes of the state.
@@ -410,7 +411,7 @@
 
 /// Calls an upstream, unless the lease or the deadline of the task has passed.
 fn call(
-    caller: &task::Caller,
+    client: &task::Client,
     spans: &span::Spans,
     clock: clock::Clock,
     start: event::Start,
@@ -430,9 +431,9 @@
             content_type: start.content_type.to_string(),
             timeout,
             lease: lease_end(start.lease, now),
-            span: context,
+            context,
         };
-        finish(caller.start(&task))
+        convert_end(client.start(&task))
     };
     spans.record(span::Span {
         context,
@@ -451,13 +452,13 @@
     event::Done { task, attempt, upstream, took, finish }
 }
 
-/// The end of a lease that is still valid at `now`; `None` for a task that needs no lease, whose
-/// end is too far in the future to represent.
+/// Returns the end of a lease that is still valid at `now`; `None` for a task that needs no lease,
+/// whose end is too far in the future to represent.
 fn lease_end(lease: u64, now: u64) -> Option<time::Instant> {
     time::Instant::now().checked_add(time::Duration::from_micros(lease - now))
 }
 
-fn finish(end: task::End) -> event::Finish {
+fn convert_end(end: task::End) -> event::Finish {
     match end {
         task::End::Answer(body, content) => {
             let content_type = name::Name::new(&content);
@@ -480,7 +481,7 @@
     }
 }
 
-/// The id of a task on the wire, `JOB/INDEX`.
+/// Returns the id of a task on the wire, `JOB/INDEX`.
 pub fn task_id(task: &queue::Task) -> String {
     format!("{}/{}", task.job, task.index)
 }
--- a/crates/apricotroute/src/demo.rs
+++ b/crates/apricotroute/src/demo.rs
@@ -15,12 +15,12 @@
 
 /// Runs the demonstration and returns the result of the job.
 pub fn run() -> error::Result<String> {
-    let fault = |step| move || error::Error::new(step, "the demonstration");
-    let folder = tempfile::tempdir().change_context_lazy(fault("create folder of"))?;
+    let context = |step| move || error::Error::new(step, "the demonstration");
+    let folder = tempfile::tempdir().change_context_lazy(context("create folder of"))?;
     let boot = boot(folder.path())?;
     let instance = instance::Instance::start(&boot, logs::none())?;
-    let client = remote::Remote::new(&instance.client().to_string());
-    let operator = remote::Remote::new(&instance.operator().to_string());
+    let client = remote::Remote::new(&instance.client_address().to_string());
+    let operator = remote::Remote::new(&instance.operator_address().to_string());
     wait_ready(&operator)?;
     operator.put(&format!("/v1/settings/{SERVICE}"), br#"{"values": {}}"#)?;
     let stopped = sync::Arc::new(atomic::AtomicBool::new(false));
@@ -83,7 +83,7 @@
             service: SERVICE.to_owned(),
             zone: "west".to_owned(),
             listen: std::net::SocketAddr::from(([127, 0, 0, 1], 0)),
-            instances: vec![instance.client().to_string()],
+            instances: vec![instance.client_address().to_string()],
             slots: 8,
             service_time: time::Duration::from_millis(50),
             tail: 0,
@@ -102,13 +102,13 @@
 
 /// Submits the job, and retries while no upstream has announced itself yet (status 503).
 fn submit(client: &remote::Remote, zone: &name::Name) -> error::Result<remote::Response> {
-    const TRIES: usize = 50;
+    const MAX_RETRIES: usize = 50;
     const PAUSE: time::Duration = time::Duration::from_millis(50);
     let tasks: Vec<_> = (0..TASKS).map(|number| json!({"payload": {"page": number}})).collect();
     let job = id::JobId::generate(zone).to_string();
     let body = json!({"job": job, "service": SERVICE, "deadline_ms": 5_000, "tasks": tasks});
     let mut answer = client.post("/v1/jobs", body.to_string().as_bytes())?;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_RETRIES {
         if answer.status != 503 {
             break;
         }
--- a/crates/apricotroute/src/demo_platform.rs
+++ b/crates/apricotroute/src/demo_platform.rs
@@ -21,8 +21,8 @@
 
 /// Runs the demonstration and returns the result of the job.
 pub fn run() -> error::Result<String> {
-    let fault = |step| move || error::Error::new(step, "the demonstration");
-    let folder = tempfile::tempdir().change_context_lazy(fault("create folder of"))?;
+    let context = |step| move || error::Error::new(step, "the demonstration");
+    let folder = tempfile::tempdir().change_context_lazy(context("create folder of"))?;
     let [peer, operator, client, ready] = free_ports()?;
     let at = |host: u8, port| net::SocketAddr::from(([127, 0, 0, host], port));
     let (operator, client) = (at(KEEPER, operator), at(ENTRY, client));
@@ -53,13 +53,13 @@
 
 /// Returns ports on which no process is listening at present.
 fn free_ports<const N: usize>() -> error::Result<[u16; N]> {
-    let fault = || error::Error::new("find a port for", "the demonstration");
+    let context = || error::Error::new("find a port for", "the demonstration");
     let mut listeners = Vec::new();
     let mut ports = [0; N];
     for port in &mut ports {
         let any = net::SocketAddr::from(([0, 0, 0, 0], 0));
-        let listener = net::TcpListener::bind(any).change_context_lazy(fault)?;
-        *port = listener.local_addr().change_context_lazy(fault)?.port();
+        let listener = net::TcpListener::bind(any).change_context_lazy(context)?;
+        *port = listener.local_addr().change_context_lazy(context)?.port();
         listeners.push(listener);
     }
     Ok(ports)
@@ -76,7 +76,7 @@
             zone: "west".to_owned(),
             cpu: 32_000,
             task_cpu: 14_000,
-            length: time::Duration::from_millis(60),
+            duration: time::Duration::from_millis(60),
             max_lease: time::Duration::from_secs(1),
             address: net::SocketAddr::from(([127, 0, 0, 1], 0)),
             to: vec![operator],
--- a/crates/apricotroute/src/explain.rs
+++ b/crates/apricotroute/src/explain.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct Timeline {
     lines: Vec<Line>,
-    /// The id that was asked for and, if it is a client's `Request-Id`, the ids of its jobs.
+    /// The requested id and, if it is a client's `Request-Id`, the ids of its jobs.
     ids: collections::BTreeSet<String>,
     /// Input lines that could not be parsed as log lines.
     unparsed: usize,
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a file cannot be read.
+    /// Returns an error if a file cannot be read.
     pub fn read(id: &str, files: &[path::PathBuf]) -> error::Result<Self> {
         let log = log_file::Log::read(files)?;
         Ok(Self::new(id, &log))
@@ -62,10 +62,10 @@
         let involved: collections::BTreeSet<_> = own.iter().map(|line| &line.instance).collect();
         let span = own.first().zip(own.last()).map(|(first, last)| (first.ts, last.ts));
         let is_state_change = |line: &Line| {
-            let within =
+            let is_near =
                 span.is_some_and(|(first, last)| line.ts + LEAD_TIME >= first && line.ts <= last);
-            let change = STATE_PREFIXES.iter().any(|prefix| line.msg.starts_with(prefix));
-            within && change && involved.contains(&line.instance)
+            let is_change = STATE_PREFIXES.iter().any(|prefix| line.msg.starts_with(prefix));
+            is_near && is_change && involved.contains(&line.instance)
         };
         let lines = all
             .iter()
--- a/crates/apricotroute/src/instance.rs
+++ b/crates/apricotroute/src/instance.rs
@@ -11,7 +11,7 @@
 
 /// Threads of the runtime that runs the listeners and streams.
 const RUNTIME_THREADS: usize = 2;
-/// Most threads that parse and serialize JSON.
+/// Maximum number of threads that parse and serialize JSON.
 const MAX_JSON_THREADS: usize = 32;
 
 /// A running instance.
@@ -42,7 +42,7 @@
             status::watch(metric::install(metrics), &control);
         }
         let pool = sync::Arc::new(pool::Pool::new("reader", MAX_JSON_THREADS));
-        let client = client::ClientApi {
+        let client = client::ClientHandler {
             instance: boot.instance.clone(),
             zone: boot.zone.clone(),
             control: control.clone(),
@@ -50,7 +50,7 @@
             spans: spans.clone(),
         };
         let instance = boot.instance.clone();
-        let operator = operator::Operator { instance, control: control.clone(), pool };
+        let operator = operator::OperatorHandler { instance, control: control.clone(), pool };
         let client = http::Listener::open(&runtime, boot.client, sync::Arc::new(client))
             .change_context_lazy(context("start"))?;
         let operator = http::Listener::open(&runtime, boot.operator, sync::Arc::new(operator))
@@ -61,13 +61,13 @@
         Ok(Self { runtime, control, client, operator, spans, log, drain_limit })
     }
 
-    /// Address of the interface for clients and upstreams.
-    pub fn client(&self) -> std::net::SocketAddr {
+    /// Returns the address of the interface for clients and upstreams.
+    pub fn client_address(&self) -> std::net::SocketAddr {
         self.client.address()
     }
 
-    /// Address of the interface for operators.
-    pub fn operator(&self) -> std::net::SocketAddr {
+    /// Returns the address of the interface for operators.
+    pub fn operator_address(&self) -> std::net::SocketAddr {
         self.operator.address()
     }
 
@@ -119,8 +119,8 @@
     let incarnation = u64::from(rand::random::<u32>().max(1));
     let store = open_store(boot, incarnation, log)?;
     let (control, channel) = control::Control::new(clock::Clock::new());
-    let known = boot.peers.iter().map(|peer| peer.instance.clone()).collect();
-    let inbox = sync::Arc::new(control::Inbox { control: control.clone(), known });
+    let peers = boot.peers.iter().map(|peer| peer.instance.clone()).collect();
+    let inbox = sync::Arc::new(control::Inbox { control: control.clone(), peers });
     peer::Server::open(runtime, boot.peer, &boot.instance, inbox)
         .change_context_lazy(|| error::Error::new("start", &boot.instance))?;
     let mut outbox = peer::Outbox::new();
@@ -152,7 +152,8 @@
     if store.truncated > 0 {
         slog::warn!(log, "store: Cut an unfinished write."; "bytes" => store.truncated);
     }
-    slog::info!(log, "store: Opened."; "life" => store.incarnation, "entries" => store.entries());
+    slog::info!(log, "store: Opened.";
+        "life" => store.incarnation, "entries" => store.entry_count());
     Ok(Some(store))
 }
 
--- a/crates/apricotroute/src/load.rs
+++ b/crates/apricotroute/src/load.rs
@@ -178,9 +178,10 @@
         thread::sleep(time::Duration::from_millis(10));
     }
     let after = counters(options)?;
-    let fault = || error::Error::new("read measurements of", "the load");
-    let measurements =
-        measurements.lock().map_err(|e| error_stack::Report::new(fault()).attach(e.to_string()))?;
+    let context = || error::Error::new("read measurements of", "the load");
+    let measurements = measurements
+        .lock()
+        .map_err(|e| error_stack::Report::new(context()).attach(e.to_string()))?;
     Ok(report(options, &measurements, &before, &after, start.elapsed()))
 }
 
@@ -220,7 +221,7 @@
     start: time::Instant,
     measurements: &sync::Mutex<Measurements>,
 ) {
-    const TRIES: usize = 100;
+    const MAX_ATTEMPTS: usize = 100;
     let planned = start + arrival.at;
     let until = planned + time::Duration::from_millis(options.deadline);
     let job = id::JobId::generate(&name::Name::new(&options.zone)).to_string();
@@ -228,7 +229,7 @@
     if arrival.cancelled {
         cancel_later(options, remote, &job);
     }
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let sent = time::Instant::now();
         let answer = call(options, remote, &body, &job);
         let (state, retry_ms) = state(&answer);
--- a/crates/apricotroute/src/log_file.rs
+++ b/crates/apricotroute/src/log_file.rs
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// A file cannot be read.
+    /// Returns an error if a file cannot be read.
     pub fn read(files: &[path::PathBuf]) -> error::Result<Self> {
         let mut log = Self { lines: Vec::new(), unparsed: 0 };
         for file in files {
@@ -56,7 +56,7 @@
         Ok(log)
     }
 
-    /// Number of lines that the processes report as omitted.
+    /// Returns the number of lines that the processes report as omitted.
     pub fn omitted(&self) -> u64 {
         let reports = self.lines.iter().filter(|line| line.msg == lines::LEFT_OUT);
         reports.filter_map(|line| line.fields.get("count")?.as_u64()).sum()
@@ -64,12 +64,12 @@
 }
 
 impl Line {
-    /// The value of a field, if it is a string.
+    /// Returns the value of a field, if it is a string.
     pub fn text(&self, key: &str) -> Option<&str> {
         self.fields.get(key)?.as_str()
     }
 
-    /// Whether its `request` or `id` field is one of `ids`.
+    /// Returns whether its `request` or `id` field is one of `ids`.
     pub fn mentions(&self, ids: &collections::BTreeSet<String>) -> bool {
         let mut line_ids = ["request", "id"].into_iter().filter_map(|key| self.text(key));
         line_ids.any(|text| ids.contains(text))
--- a/crates/apricotroute/src/losses.rs
+++ b/crates/apricotroute/src/losses.rs
@@ -29,7 +29,7 @@
 
 /// Milliseconds for which a logged free capacity of a zone is valid: twice the interval between two
 /// `zone: Room.` lines.
-const ROOM_VALIDITY_MS: i64 = 1_000;
+const CAPACITY_VALIDITY_MS: i64 = 1_000;
 /// Number of request ids that the report lists for each cause.
 const LISTED_IDS: usize = 3;
 
@@ -125,14 +125,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if a file cannot be read.
+    /// Returns an error if a file cannot be read.
     pub fn read(files: &[path::PathBuf], window: u32) -> error::Result<Self> {
         Ok(Self::new(&Log::read(files)?, i64::from(window.max(1))))
     }
 
     fn new(log: &Log, window: i64) -> Self {
         let first = log.lines.first().map_or(0, |line| line.ts.timestamp_millis());
-        let rooms = rooms(log);
+        let free = free_capacity(log);
         let mut histories: collections::BTreeMap<&str, History> = collections::BTreeMap::new();
         let mut lost = Vec::new();
         for line in &log.lines {
@@ -150,7 +150,7 @@
         let requests = histories.len() + lost.len();
         let diverted = histories.values().filter(|history| history.diverted).count();
         let cause = |(id, history): (&&str, &History)| {
-            Some((history.accepted, history.cause(&rooms)?, (*id).to_owned()))
+            Some((history.accepted, history.cause(&free)?, (*id).to_owned()))
         };
         lost.extend(histories.iter().filter_map(cause));
         for (at, ..) in &mut lost {
@@ -226,23 +226,25 @@
 
     /// Returns why the request was not answered in time, or `None` if it was in time or was
     /// cancelled without an answer.
-    fn cause(&self, rooms: &Rooms) -> Option<Cause> {
+    fn cause(&self, free: &FreeCapacity) -> Option<Cause> {
         let Some(answer) = &self.answer else {
             return (!self.cancelled).then_some(Cause::Unanswered);
         };
         let took = number(answer, " after ").unwrap_or(0);
         let objective = number(answer, "objective ").unwrap_or(u64::MAX);
         let resumed = answer.ends_with("resumed true");
-        let elsewhere = rooms.had_room(self.accepted, &self.zones);
+        let has_alternative = free.had_capacity(self.accepted, &self.zones);
         let cause = match answer.split(['(', ' ']).next() {
             Some("Complete") if took <= objective => return None,
             Some("Complete") if resumed => Cause::LateScheduler,
             Some("Complete") if self.rerun => Cause::LateRerun,
             Some("Complete") => match self.breakdown {
-                Some(parts) => late_cause(&parts, took * time::MS, objective * time::MS, elsewhere),
+                Some(parts) => {
+                    late_cause(&parts, took * time::MS, objective * time::MS, has_alternative)
+                }
                 // The request would have been late even without the wait.
                 None if took > objective + self.waited => Cause::LateUnknown,
-                None if elsewhere => Cause::LateZoneFull,
+                None if has_alternative => Cause::LateZoneFull,
                 None => Cause::LateAllZonesFull,
             },
             Some("Failed") => Cause::Failed,
@@ -250,7 +252,7 @@
             Some("GaveUp") => Cause::GaveUp,
             _ if answer.starts_with("NotRun(NoScheduler") => Cause::NoScheduler,
             _ if answer.starts_with("NotRun(Evacuated") => Cause::Evacuated,
-            _ if answer.starts_with("NotRun(Overload") && elsewhere => Cause::ZoneFull,
+            _ if answer.starts_with("NotRun(Overload") && has_alternative => Cause::ZoneFull,
             _ if answer.starts_with("NotRun(Overload") => Cause::AllZonesFull,
             _ => Cause::Refused,
         };
@@ -260,11 +262,17 @@
 
 /// Returns the cause of a late answer: the work if it alone exceeded the objective, otherwise the
 /// longest delay. `took` is the time from the request to its answer; both times are microseconds.
-fn late_cause(parts: &timing::Breakdown, took: u64, objective: u64, elsewhere: bool) -> Cause {
+/// `has_alternative` says whether another zone had free capacity.
+fn late_cause(
+    parts: &timing::Breakdown,
+    took: u64,
+    objective: u64,
+    has_alternative: bool,
+) -> Cause {
     if parts.work > objective {
         return Cause::LateWork;
     }
-    let wait = if elsewhere { Cause::LateZoneFull } else { Cause::LateAllZonesFull };
+    let wait = if has_alternative { Cause::LateZoneFull } else { Cause::LateAllZonesFull };
     let entry = parts.handed + took.saturating_sub(parts.whole());
     let delays = [
         (parts.waited, wait),
@@ -278,40 +286,41 @@
 
 /// Free CPU of each zone over time, in millicores by Unix milliseconds.
 #[derive(Debug, Default)]
-struct Rooms {
+struct FreeCapacity {
     zones: collections::BTreeMap<String, collections::BTreeMap<i64, i64>>,
 }
 
-impl Rooms {
+impl FreeCapacity {
     /// Returns whether any zone outside of `except` had free capacity at time `at`.
-    fn had_room(&self, at: i64, except: &collections::BTreeSet<String>) -> bool {
+    fn had_capacity(&self, at: i64, except: &collections::BTreeSet<String>) -> bool {
         let others = self.zones.iter().filter(|(zone, _)| !except.contains(*zone));
-        others.into_iter().any(|(_, room)| {
-            let last = room.range(at - ROOM_VALIDITY_MS..=at).next_back();
+        others.into_iter().any(|(_, samples)| {
+            let last = samples.range(at - CAPACITY_VALIDITY_MS..=at).next_back();
             last.is_some_and(|(_, free)| *free > 0)
         })
     }
 }
 
-fn rooms(log: &Log) -> Rooms {
-    let mut rooms = Rooms::default();
+fn free_capacity(log: &Log) -> FreeCapacity {
+    let mut capacity = FreeCapacity::default();
     for line in log.lines.iter().filter(|line| line.msg == "zone: Room.") {
         let (zone, detail) = (line.text("id"), line.text("detail"));
         let free = detail.and_then(|detail| detail.split('m').next()?.parse().ok());
         if let (Some(zone), Some(free)) = (zone, free) {
             let at = line.ts.timestamp_millis();
-            rooms.zones.entry(zone.to_owned()).or_default().insert(at, free);
+            capacity.zones.entry(zone.to_owned()).or_default().insert(at, free);
         }
     }
-    rooms
+    capacity
 }
 
 /// Returns the cause if the line says that an entry refused a request before creating a job.
 fn immediate_refusal(line: &Line) -> Option<Cause> {
     let status = line.fields.get("status").and_then(serde_json::Value::as_u64);
-    let lost = line.msg == "request: Answered at once." && status.is_some_and(|code| code >= 500);
-    let unready = line.text("why").is_some_and(|why| why.contains("configuration"));
-    lost.then_some(if unready { Cause::NoConfiguration } else { Cause::Refused })
+    let is_lost =
+        line.msg == "request: Answered at once." && status.is_some_and(|code| code >= 500);
+    let is_unready = line.text("why").is_some_and(|why| why.contains("configuration"));
+    is_lost.then_some(if is_unready { Cause::NoConfiguration } else { Cause::Refused })
 }
 
 /// Returns the decimal number that follows the first `mark` in `text`.
--- a/crates/apricotroute/src/node/control.rs
+++ b/crates/apricotroute/src/node/control.rs
@@ -29,7 +29,7 @@
 const STATUS_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// A configuration that has not been decoded after this time counts as unavailable: the routes in
-/// force are then out of date. An entry with 0.12 of a core takes 160 ms for 4,200 routes.
+/// effect are then out of date. An entry with 0.12 of a core takes 160 ms for 4,200 routes.
 const READ_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
 /// Everything that the control thread is started with.
@@ -84,10 +84,10 @@
     fn new(control: Control, parts: Parts) -> Self {
         let reader = reader::start(sync::Arc::clone(&control.view), parts.log.clone());
         let core = core::Core::new(parts.config, control.clock.now());
-        let report = control.clone();
+        let reporter = control.clone();
         // Retries until the mailbox accepts the report: without it the settings group makes no
         // progress until the next save.
-        let saved = move |number| while !report.send(Event::Saved(number)) {};
+        let saved = move |number| while !reporter.send(Event::Saved(number)) {};
         let store = parts.store.map(|store| store.run(parts.log.clone(), saved));
         Self {
             control,
@@ -154,13 +154,13 @@
                 metric::count_message(body.kind(), bytes.len());
                 self.batches.entry(to).or_default().push(bytes);
             }
-            Output::Reconnect(to) => self.work.push(Work::Redial(to)),
+            Output::Reconnect(to) => self.work.push(Work::Reconnect(to)),
             Output::Disconnect(to) => self.work.push(Work::Disconnect(to)),
             Output::Save(number, save) => self.saves.push((number, save)),
             Output::SaveKnown(known) => self.store(store::Write::Known(known)),
             Output::Call(call) => {
                 if let order::Order::Start { waited, .. } = &call.order {
-                    metric::record_start(time::Duration::from_millis(*waited));
+                    metric::record_start_wait(time::Duration::from_millis(*waited));
                 }
                 self.work.push(Work::Call(call));
             }
@@ -177,11 +177,11 @@
                 drop(self.reader.send(document));
             }
             Output::Note(note) => self.limiter.write(&self.log, &note),
-            Output::Measure(measure) => note_measure(measure),
+            Output::Measure(measure) => record_measure(measure),
         }
     }
 
-    /// Publishes whether the routes in force are out of date, and logs each change of that.
+    /// Publishes whether the routes in effect are out of date, and logs each change of that.
     fn publish_outdated(&self, outdated: bool) {
         if self.control.view.outdated.swap(outdated, atomic::Ordering::Relaxed) != outdated {
             let version = self.core.document().version;
@@ -196,17 +196,18 @@
         if let Ok(mut current) = self.control.view.status.write() {
             *current = status;
         }
-        for room in self.core.zone_loads(self.control.clock.now()) {
-            let message::Load { free, total } = room.load;
-            let detail = format!("{free}m of {total}m cores free, {} tasks wait", room.waiting);
-            slog::info!(self.log, "zone: Room."; "id" => %room.zone, "detail" => detail);
+        for zone in self.core.zone_loads(self.control.clock.now()) {
+            let message::Load { free, total } = zone.load;
+            let detail = format!("{free}m of {total}m cores free, {} tasks wait", zone.waiting);
+            slog::info!(self.log, "zone: Room."; "id" => %zone.zone, "detail" => detail);
         }
     }
 
     fn store(&self, write: store::Write) {
         if let Some(store) = &self.store {
             // Sending fails once the store thread has ended after a failed write. Nothing is
-            // confirmed from then on, as its voter requires.
+            // confirmed from then on, because the voter must not confirm changes that may be
+            // missing on the disk.
             drop(store.send(write));
         }
     }
@@ -242,21 +243,21 @@
     }
 }
 
-fn note_measure(measure: event::Measure) {
+fn record_measure(measure: event::Measure) {
     let time = time::Duration::from_micros;
     match measure {
-        event::Measure::FirstWait(waited) => metric::record_first_start(time(waited)),
+        event::Measure::FirstWait(waited) => metric::record_first_wait(time(waited)),
         event::Measure::IdleRoom(idle) => metric::record_idle_room(time(idle)),
         event::Measure::Breakdown(parts) => {
-            metric::record_part("order", time(parts.order));
-            metric::record_part("work", time(parts.work));
-            metric::record_part("told", time(parts.told));
+            metric::record_task_part("order", time(parts.order));
+            metric::record_task_part("work", time(parts.work));
+            metric::record_task_part("told", time(parts.told));
         }
         event::Measure::LoadAge(age) => metric::record_load_age(time(age)),
     }
 }
 
-/// The label of a reply in metrics.
+/// Returns the label of a reply in metrics.
 fn reply_label(reply: &Reply) -> &'static str {
     match reply {
         Reply::Verdict(job::Verdict::Complete) => "complete",
--- a/crates/apricotroute/src/node/handle.rs
+++ b/crates/apricotroute/src/node/handle.rs
@@ -19,7 +19,7 @@
     Request(event::Ticket, Event, platform::ReplyFn),
 }
 
-/// A handle on the control thread.
+/// A handle to the control thread.
 #[derive(Clone, Debug)]
 pub struct Control {
     pub(super) mailbox: sync::Arc<mailbox::Mailbox<Input>>,
@@ -36,12 +36,12 @@
         Self { mailbox, tickets, view, clock }
     }
 
-    /// The clock that decisions use.
+    /// Returns the clock that scheduling decisions use.
     pub fn clock(&self) -> clock::Clock {
         self.clock
     }
 
-    /// The state that other threads read without a request to the control thread.
+    /// Returns the state that other threads read without a request to the control thread.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -58,7 +58,7 @@
         self.mailbox.push_deferred(Input::Event(event)).is_ok()
     }
 
-    /// Starts draining: work in progress is finished, and clients are no longer sent here.
+    /// Starts draining: work in progress is finished, and readiness checks fail from now on.
     pub fn drain(&self) {
         self.view.draining.store(true, atomic::Ordering::Relaxed);
         self.view.ready.store(false, atomic::Ordering::Relaxed);
@@ -71,7 +71,7 @@
     }
 }
 
-/// The instance behind the listeners.
+/// Passes the events of the listeners to the control thread.
 #[derive(Debug)]
 pub struct Backend {
     control: Control,
@@ -93,8 +93,8 @@
     ) -> event::Ticket {
         let ticket = self.control.tickets.fetch_add(1, atomic::Ordering::Relaxed);
         let event = event(ticket);
-        let closed = self.control.view.closed.load(atomic::Ordering::Relaxed);
-        if closed && matches!(event, Event::Submit(..)) {
+        let is_closed = self.control.view.closed.load(atomic::Ordering::Relaxed);
+        if is_closed && matches!(event, Event::Submit(..)) {
             reply(core::refuse_draining());
             return ticket;
         }
@@ -133,8 +133,8 @@
         slog::info!(self.log, "request: Taken."; "request" => request, "id" => id);
     }
 
-    fn log_refused(&self, request: &str, id: &str, status: u16, why: &str) {
-        slog::info!(self.log, "request: Answered at once."; "request" => request, "id" => id,
+    fn log_refused(&self, request: &str, path: &str, status: u16, why: &str) {
+        slog::info!(self.log, "request: Answered at once."; "request" => request, "id" => path,
             "status" => status, "why" => why);
     }
 }
@@ -157,9 +157,9 @@
         let Ok(body) = postcard::from_bytes::<message::Body>(&body) else {
             return false;
         };
-        let urgent = !matches!(&body, message::Body::Ping(ping) if !ping.urgent);
+        let is_urgent = !matches!(&body, message::Body::Ping(ping) if !ping.urgent);
         let event = Event::Peer(from.clone(), body);
-        if urgent { self.control.send(event) } else { self.control.send_deferred(event) }
+        if is_urgent { self.control.send(event) } else { self.control.send_deferred(event) }
     }
 
     /// Accepts every sender: instances join and leave, and heartbeats show which ones exist.
--- a/crates/apricotroute/src/node/mailbox.rs
+++ b/crates/apricotroute/src/node/mailbox.rs
@@ -6,7 +6,7 @@
 
 use std::{sync, time};
 
-/// Most entries that wait in the queue.
+/// Maximum number of entries that wait in the queue.
 const CAPACITY: usize = 65_536;
 
 /// A bounded queue with one reader.
@@ -17,7 +17,7 @@
 
 struct State<T> {
     entries: Vec<T>,
-    /// Whether an entry waits for which the reader must be awake.
+    /// Whether an entry that must wake the reader is waiting.
     urgent: bool,
     asleep: bool,
 }
@@ -52,9 +52,9 @@
         }
         state.entries.push(entry);
         state.urgent |= urgent;
-        let wake = urgent && std::mem::take(&mut state.asleep);
+        let must_wake = urgent && std::mem::take(&mut state.asleep);
         drop(state);
-        if wake {
+        if must_wake {
             self.condvar.notify_one();
         }
         Ok(())
--- a/crates/apricotroute/src/node/measure.rs
+++ b/crates/apricotroute/src/node/measure.rs
@@ -54,11 +54,11 @@
 impl http::Handler for MetricsHandler {
     fn handle(&self, request: http::Request, responder: http::Responder) {
         let text = metric::metrics().map(metric::Metrics::text).unwrap_or_default();
-        let known = request.path == "/metrics";
-        responder.send(http::Response::text(if known { 200 } else { 404 }, text));
+        let is_known = request.path == "/metrics";
+        responder.send(http::Response::text(if is_known { 200 } else { 404 }, text));
     }
 
-    fn fault(&self, _error: http::RequestError) -> http::Response {
+    fn reject(&self, _error: http::RequestError) -> http::Response {
         http::Response::text(400, "cannot read the request body\n")
     }
 }
--- a/crates/apricotroute/src/node/mod.rs
+++ b/crates/apricotroute/src/node/mod.rs
@@ -30,7 +30,7 @@
 /// How long a keeper stays up during shutdown, so that its successor has taken over.
 const KEEPER_DELAY: time::Duration = time::Duration::from_millis(900);
 /// Part of the grace period that is reserved for the last responses and log lines.
-const RESERVE: time::Duration = time::Duration::from_millis(500);
+const GRACE_RESERVE: time::Duration = time::Duration::from_millis(500);
 
 /// Runs an instance until SIGTERM or SIGINT arrives; SIGHUP reloads the settings file.
 pub fn run(file: &path::Path, settings: &node::Node, log: &slog::Logger) -> error::Result<()> {
@@ -97,7 +97,8 @@
         let (control, start) = (&self.control, time::Instant::now());
         slog::info!(self.log, "node: Draining."; "open" => control.view().open_jobs());
         control.drain();
-        let grace = time::Duration::from_millis(self.settings.grace_ms).saturating_sub(RESERVE);
+        let grace =
+            time::Duration::from_millis(self.settings.grace_ms).saturating_sub(GRACE_RESERVE);
         let delay = match self.settings.role {
             node::Role::Entry => ENTRY_DELAY,
             node::Role::Keeper => KEEPER_DELAY,
@@ -134,18 +135,25 @@
         listener.change_context_lazy(context).map(|listener| listeners.push(listener))
     };
     if let Some(address) = node.client {
-        listen(address, sync::Arc::new(platform::front::Front::new(sync::Arc::clone(&backend))))?;
+        listen(
+            address,
+            sync::Arc::new(platform::front::ClientHandler::new(sync::Arc::clone(&backend))),
+        )?;
     }
     if let Some(address) = node.ready {
-        listen(address, sync::Arc::new(platform::front::Ready::new(sync::Arc::clone(&backend))))?;
+        listen(
+            address,
+            sync::Arc::new(platform::front::ReadyHandler::new(sync::Arc::clone(&backend))),
+        )?;
     }
     if let Some(address) = node.metrics {
         let metrics = measure::MetricsHandler::new(control).change_context_lazy(context)?;
         listen(address, sync::Arc::new(metrics))?;
     }
     if let Some(address) = node.operator {
-        let control = platform::control::Control::new(backend).change_context_lazy(context)?;
-        listen(address, sync::Arc::new(control))?;
+        let handler = platform::control::ControlHandler::new(backend);
+        let handler = handler.change_context_lazy(context)?;
+        listen(address, sync::Arc::new(handler))?;
     }
     Ok(listeners)
 }
@@ -193,12 +201,12 @@
     if store.truncated > 0 {
         slog::warn!(log, "store: Cut an unfinished write."; "bytes" => store.truncated);
     }
-    if let Some(fault) = &store.hints_fault {
+    if let Some(error) = &store.hints_error {
         slog::warn!(log, "store: The saved instances and upstreams cannot be read.";
-            "error" => fault);
+            "error" => error);
     }
-    slog::info!(log, "store: Opened."; "life" => store.incarnation, "entries" => store.entries(),
-        "upstreams" => store.known.upstreams.len());
+    slog::info!(log, "store: Opened."; "life" => store.incarnation,
+        "entries" => store.entry_count(), "upstreams" => store.known.upstreams.len());
     Ok(store)
 }
 
--- a/crates/apricotroute/src/node/reader.rs
+++ b/crates/apricotroute/src/node/reader.rs
@@ -11,7 +11,7 @@
 
 use super::view;
 
-/// Starts the thread, which puts the last of the waiting documents in force.
+/// Starts the thread, which puts the last of the waiting documents into effect.
 pub fn start(view: sync::Arc<view::View>, log: slog::Logger) -> mpsc::Sender<Document> {
     let (sender, receiver) = mpsc::channel::<Document>();
     let run = move || {
@@ -33,12 +33,12 @@
         Ok(routing) => {
             view.set_routing(routing);
             let elapsed = start.elapsed();
-            metric::record_read(elapsed);
+            metric::record_config_read(elapsed);
             slog::info!(log, "settings: Read."; "version" => document.version,
                 "bytes" => document.body.len(), "ms" => elapsed.as_millis() as u64);
         }
-        // It was checked before it was committed, but by an instance of another version.
-        Err(fault) => slog::error!(log, "settings: A committed configuration cannot be read.";
-            "version" => document.version, "fault" => fault.why),
+        // An instance of another version checked the configuration before it was committed.
+        Err(error) => slog::error!(log, "settings: A committed configuration cannot be read.";
+            "version" => document.version, "fault" => error.why),
     }
 }
--- a/crates/apricotroute/src/node/traffic.rs
+++ b/crates/apricotroute/src/node/traffic.rs
@@ -19,7 +19,7 @@
     /// Send messages to an instance.
     Send(name::Name, Vec<bytes::Bytes>),
     /// Close the stream to an instance and open it again.
-    Redial(name::Name),
+    Reconnect(name::Name),
     /// Close the stream to an instance.
     Disconnect(name::Name),
     /// Call an upstream.
@@ -68,17 +68,17 @@
         let start = time::Instant::now();
         let outcome = platform::upstream::call(&caller, &call).await;
         metric::record_call(order_label(&call.order), outcome_label(&outcome), start.elapsed());
-        let succeeded = matches!(outcome, Outcome::Done(_));
+        let is_done = matches!(outcome, Outcome::Done(_));
         let (number, fence, took) = (call.number, call.fence, start.elapsed());
         let took = took.as_micros() as u64;
         let event = Event::Called(Answer { number, fence, took, outcome });
         // The event is dropped only if tens of thousands wait in the mailbox. The lists of the next
         // hold then carry the same information.
-        let _sent = if succeeded { control.send_deferred(event) } else { control.send(event) };
+        let _sent = if is_done { control.send_deferred(event) } else { control.send(event) };
     });
 }
 
-/// The label of an order in metrics.
+/// Returns the label of an order in metrics.
 fn order_label(order: &Order) -> &'static str {
     match order {
         Order::Hold { .. } => "hold",
@@ -87,7 +87,7 @@
     }
 }
 
-/// The label of a call's outcome in metrics.
+/// Returns the label of a call's outcome in metrics.
 fn outcome_label(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Done(_) | Outcome::Held { .. } => "done",
@@ -119,7 +119,7 @@
                 // silence of the instance.
                 let _sent = self.outbox.send(&to, bodies);
             }
-            Work::Redial(to) => {
+            Work::Reconnect(to) => {
                 self.disconnect(&to);
                 self.connect(&to);
             }
--- a/crates/apricotroute/src/node/view.rs
+++ b/crates/apricotroute/src/node/view.rs
@@ -17,12 +17,12 @@
 }
 
 impl View {
-    /// Number of jobs that clients wait for.
+    /// Returns the number of jobs that clients wait for.
     pub fn open_jobs(&self) -> usize {
         self.open_jobs.load(atomic::Ordering::Relaxed)
     }
 
-    /// Status of the instance, at most half a second old.
+    /// Returns the status of the instance, at most half a second old.
     pub fn status(&self) -> status::Status {
         match self.status.read() {
             Ok(status) => *status,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Replaces the routes in force.
+    /// Replaces the routes in effect.
     pub fn set_routing(&self, routing: routing::Routing) {
         let mut current = self.routing.write().unwrap_or_else(sync::PoisonError::into_inner);
         *current = sync::Arc::new(routing);
--- a/crates/apricotroute/src/operator.rs
+++ b/crates/apricotroute/src/operator.rs
@@ -14,34 +14,34 @@
 
 /// Handles the HTTP requests of operators.
 #[derive(Clone, Debug)]
-pub struct Operator {
+pub struct OperatorHandler {
     /// Name of the instance.
     pub instance: name::Name,
-    /// Handle of the control thread.
+    /// Handle to the control thread.
     pub control: control::Control,
     /// Thread pool that parses requests and writes responses.
     pub pool: sync::Arc<pool::Pool>,
 }
 
-impl http::Handler for Operator {
+impl http::Handler for OperatorHandler {
     fn handle(&self, request: Request, responder: Responder) {
-        let operator = self.clone();
-        self.pool.run(move || operator.route(&request, responder));
+        let handler = self.clone();
+        self.pool.run(move || handler.route(&request, responder));
     }
 
-    fn fault(&self, error: http::RequestError) -> Response {
-        reply::body_error(error, self.instance.as_str())
+    fn reject(&self, error: http::RequestError) -> Response {
+        reply::body_error_response(error, self.instance.as_str())
     }
 }
 
-impl Operator {
+impl OperatorHandler {
     fn route(&self, request: &Request, responder: Responder) {
         let path = request.path.as_str();
         let settings = path.strip_prefix("/v1/settings");
         match (request.method.as_str(), path) {
             ("GET", "/healthz") => responder.send(Response::text(200, "alive\n")),
-            ("GET", "/readyz") => responder.send(client::readiness(&self.control)),
-            ("GET", "/metrics") => responder.send(metrics()),
+            ("GET", "/readyz") => responder.send(client::readiness_response(&self.control)),
+            ("GET", "/metrics") => responder.send(metrics_response()),
             ("GET", "/v1/status") => responder.send(self.status()),
             ("GET", "/v1/changes") => responder.send(self.list_changes()),
             ("GET", _) if settings.is_some() => {
@@ -68,7 +68,7 @@
     fn status(&self) -> Response {
         match self.control.inspect(coord::Core::status) {
             Some(status) => Response::json(200, serde_json::to_vec(&status).unwrap_or_default()),
-            None => reply::overloaded(self.instance.as_str()),
+            None => reply::overload_response(self.instance.as_str()),
         }
     }
 
@@ -147,19 +147,19 @@
             Some(text) => uuid::Uuid::try_parse(text)
                 .map_err(|e| error(400, "read change", &format!("change: {e}")))?,
         };
-        let faults = tree::value_errors(&body.values);
-        if !faults.is_empty() {
-            return Err(Box::new(self.invalid_values(&faults)));
+        let errors = tree::value_errors(&body.values);
+        if !errors.is_empty() {
+            return Err(Box::new(self.invalid_values(&errors)));
         }
         let values = Value::Object(body.values).to_string();
         Ok(tree::Change { change, base: body.base, path: name::Name::new(path), values })
     }
 
     /// Returns a response that lists every invalid key with its reason.
-    fn invalid_values(&self, faults: &[(String, String)]) -> Response {
-        let list: Vec<_> = faults.iter().map(|(key, why)| format!("{key}: {why}")).collect();
+    fn invalid_values(&self, errors: &[(String, String)]) -> Response {
+        let list: Vec<_> = errors.iter().map(|(key, why)| format!("{key}: {why}")).collect();
         let keys: Map<String, Value> =
-            faults.iter().map(|(key, why)| (key.clone(), why.clone().into())).collect();
+            errors.iter().map(|(key, why)| (key.clone(), why.clone().into())).collect();
         let body = json!({
             "state": reply::NOT_RUN,
             "error": list.join("; "),
@@ -197,7 +197,7 @@
     }
 }
 
-fn metrics() -> Response {
+fn metrics_response() -> Response {
     let text = metric::metrics().map(metric::Metrics::text).unwrap_or_default();
     Response::text(200, text)
 }
--- a/crates/apricotroute/src/output.rs
+++ b/crates/apricotroute/src/output.rs
@@ -10,8 +10,8 @@
 pub fn text(text: impl fmt::Display) {
     let written = write!(io::stdout(), "{text}").and_then(|()| io::stdout().flush());
     match written {
-        Err(fault) if fault.kind() != io::ErrorKind::BrokenPipe => {
-            eprintln!("apricotroute: write output: {fault}");
+        Err(e) if e.kind() != io::ErrorKind::BrokenPipe => {
+            eprintln!("apricotroute: write output: {e}");
         }
         _ => {}
     }
--- a/crates/apricotroute/src/remote.rs
+++ b/crates/apricotroute/src/remote.rs
@@ -16,7 +16,7 @@
 }
 
 impl Response {
-    /// The body as JSON, or `null` if it is not valid JSON.
+    /// Returns the body as JSON, or `null` if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
@@ -46,18 +46,18 @@
 
     /// Sends a `GET` request.
     pub fn get(&self, path: &str) -> error::Result<Response> {
-        self.read(self.agent.get(self.url(path)).call())
+        self.read_response(self.agent.get(self.url(path)).call())
     }
 
     /// Sends a `DELETE` request.
     pub fn delete(&self, path: &str) -> error::Result<Response> {
-        self.read(self.agent.delete(self.url(path)).call())
+        self.read_response(self.agent.delete(self.url(path)).call())
     }
 
     /// Sends a `POST` request with a JSON body.
     pub fn post(&self, path: &str, body: &[u8]) -> error::Result<Response> {
         let request = self.agent.post(self.url(path)).header("Content-Type", "application/json");
-        self.read(request.send(body))
+        self.read_response(request.send(body))
     }
 
     /// Sends a request to a service, with additional headers.
@@ -71,20 +71,20 @@
         for (name, value) in headers {
             request = request.header(*name, value);
         }
-        self.read(request.send(body))
+        self.read_response(request.send(body))
     }
 
     /// Sends a `PUT` request with a JSON body.
     pub fn put(&self, path: &str, body: &[u8]) -> error::Result<Response> {
         let request = self.agent.put(self.url(path)).header("Content-Type", "application/json");
-        self.read(request.send(body))
+        self.read_response(request.send(body))
     }
 
     fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.address)
     }
 
-    fn read(
+    fn read_response(
         &self,
         result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> error::Result<Response> {
--- a/crates/apricotroute/src/reply.rs
+++ b/crates/apricotroute/src/reply.rs
@@ -48,13 +48,13 @@
     }
 }
 
-/// The response to a request that is not valid.
+/// Returns the response to a request that is not valid.
 pub fn error_response(status: u16, step: &str, error: &str, peer: &str) -> Response {
     ErrorResponse { status, state: NOT_RUN, error, step, peer, retry_ms: 0 }.response()
 }
 
-/// The response to a request whose body was not received completely.
-pub fn body_error(error: RequestError, peer: &str) -> Response {
+/// Returns the response to a request whose body was not received completely.
+pub fn body_error_response(error: RequestError, peer: &str) -> Response {
     let (status, error) = match error {
         RequestError::TooLarge => (413, "the body is too large"),
         RequestError::TooSlow => (408, "the body did not arrive in time"),
@@ -64,19 +64,19 @@
     error_response(status, "read body", error, peer)
 }
 
-/// The response when the queue of the control thread is full.
-pub fn overloaded(peer: &str) -> Response {
+/// Returns the response when the queue of the control thread is full.
+pub fn overload_response(peer: &str) -> Response {
     const RETRY_MS: u64 = 200;
     let error = "the instance is overloaded";
     let (status, state, step) = (503, NOT_RUN, "queue request");
     ErrorResponse { status, state, error, step, peer, retry_ms: RETRY_MS }.response()
 }
 
-/// The response to a submission. For a `raw` request it is the upstream's answer itself.
-pub fn verdict(verdict: &Verdict, job: &str, raw: bool, peer: &str) -> Response {
+/// Returns the response to a submission. For a `raw` request it is the upstream's answer itself.
+pub fn verdict_response(verdict: &Verdict, job: &str, raw: bool, peer: &str) -> Response {
     match verdict {
-        Verdict::Complete(answers) if raw => raw_answer(answers),
-        Verdict::Complete(answers) => complete(answers, job),
+        Verdict::Complete(answers) if raw => raw_response(answers),
+        Verdict::Complete(answers) => complete_response(answers, job),
         Verdict::Running => {
             let body = proto::json::Running { state: "running", job: job.to_owned() };
             let text = serde_json::to_vec(&body).unwrap_or_default();
@@ -122,8 +122,8 @@
     }
 }
 
-/// The upstream's answer to a request, unchanged.
-fn raw_answer(answers: &[Answer]) -> Response {
+/// Returns the upstream's answer to a request, unchanged.
+fn raw_response(answers: &[Answer]) -> Response {
     let answer = answers.first();
     let body = answer.map(|answer| answer.body.clone()).unwrap_or_default();
     let content_type = answer.map(|answer| answer.content_type.to_string()).unwrap_or_default();
@@ -131,7 +131,7 @@
     response.with_header(STATE_HEADER, "complete")
 }
 
-fn complete(answers: &[Answer], job: &str) -> Response {
+fn complete_response(answers: &[Answer], job: &str) -> Response {
     let answers: Vec<_> = answers.iter().map(to_json).collect();
     let answers = answers.iter().map(AsRef::as_ref).collect();
     let body = proto::json::Complete { state: "complete", job: job.to_owned(), answers };
--- a/crates/apricotroute/src/standin.rs
+++ b/crates/apricotroute/src/standin.rs
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug)]
-struct Handler {
+struct TaskHandler {
     options: Options,
     runtime: tokio::runtime::Handle,
     table: sync::Arc<sync::Mutex<TaskTable>>,
@@ -93,23 +93,23 @@
         options: Options,
         runtime: &sync::Arc<tokio::runtime::Runtime>,
     ) -> error::Result<Self> {
-        let fault = || error::Error::new("start upstream", &options.name);
+        let context = || error::Error::new("start upstream", &options.name);
         let log = match &options.log {
             Some(path) => {
                 let open = fs::OpenOptions::new().create(true).append(true).open(path);
-                Some(sync::Mutex::new(open.change_context_lazy(fault)?))
+                Some(sync::Mutex::new(open.change_context_lazy(context)?))
             }
             None => None,
         };
         let table = sync::Arc::default();
-        let handler = Handler {
+        let handler = TaskHandler {
             options: options.clone(),
             runtime: runtime.handle().clone(),
             table: sync::Arc::clone(&table),
             log,
         };
         let listener = http::Listener::open(runtime, options.listen, sync::Arc::new(handler))
-            .change_context_lazy(fault)?;
+            .change_context_lazy(context)?;
         let (address, runtime) = (listener.address(), sync::Arc::clone(runtime));
         Ok(Self { options, address, table, _runtime: runtime, _listener: listener })
     }
@@ -119,15 +119,15 @@
         self.address
     }
 
-    /// Announces the stand-in repeatedly until `stopped` returns true, then announces that it is
+    /// Announces the stand-in repeatedly until `is_stopped` returns true, then announces that it is
     /// leaving.
-    pub fn announce(&self, stopped: impl Fn() -> bool) {
+    pub fn announce(&self, is_stopped: impl Fn() -> bool) {
         const PAUSE: time::Duration = time::Duration::from_millis(100);
         let remotes: Vec<_> =
             self.options.instances.iter().map(|to| remote::Remote::new(to)).collect();
         let mut target = 0;
         let mut next = time::Instant::now();
-        while !stopped() {
+        while !is_stopped() {
             if time::Instant::now() >= next && !remotes.is_empty() {
                 let lease = self.send_announcement(&remotes[target % remotes.len()], "serving");
                 let wait = lease.map_or(PAUSE, |lease| lease / 3);
@@ -167,15 +167,15 @@
         const PAUSE: time::Duration = time::Duration::from_millis(20);
         const MAX_WAIT: time::Duration = time::Duration::from_mins(1);
         let until = time::Instant::now() + MAX_WAIT;
-        let busy = || self.table.lock().is_ok_and(|table| !table.running.is_empty());
-        while busy() && time::Instant::now() < until {
+        let is_busy = || self.table.lock().is_ok_and(|table| !table.running.is_empty());
+        while is_busy() && time::Instant::now() < until {
             thread::sleep(PAUSE);
         }
         thread::sleep(PAUSE);
     }
 }
 
-impl http::Handler for Handler {
+impl http::Handler for TaskHandler {
     fn handle(&self, request: Request, responder: Responder) {
         match (request.method.as_str(), request.path.strip_prefix("/v1/tasks")) {
             ("POST", Some("")) => self.start(&request, responder),
@@ -188,19 +188,19 @@
         }
     }
 
-    fn fault(&self, _: http::RequestError) -> Response {
+    fn reject(&self, _: http::RequestError) -> Response {
         Response::text(400, "the request ended early\n")
     }
 }
 
-impl Handler {
+impl TaskHandler {
     fn start(&self, request: &Request, responder: Responder) {
         let task = request.header("Task-Id").unwrap_or_default().to_owned();
         let Ok(mut table) = self.table.lock() else {
             return;
         };
-        let full = table.running.len() >= self.options.slots as usize;
-        if full || self.options.mode == Mode::Refuse {
+        let is_full = table.running.len() >= self.options.slots as usize;
+        if is_full || self.options.mode == Mode::Refuse {
             let refusal = Response::text(503, "no slot is free\n").with_header("Not-Run", "true");
             return responder.send(refusal);
         }
@@ -240,8 +240,8 @@
     /// Draws the service time of a task.
     fn service_time(&self) -> time::Duration {
         const TAIL_FACTOR: u32 = 10;
-        let slow = self.options.tail > 0 && rand::rng().random_range(0..self.options.tail) == 0;
-        if slow { self.options.service_time * TAIL_FACTOR } else { self.options.service_time }
+        let is_slow = self.options.tail > 0 && rand::rng().random_range(0..self.options.tail) == 0;
+        if is_slow { self.options.service_time * TAIL_FACTOR } else { self.options.service_time }
     }
 
     /// Appends a task start to the start log before the task runs.
--- a/crates/apricotroute/src/store.rs
+++ b/crates/apricotroute/src/store.rs
@@ -35,7 +35,7 @@
     /// The instances and upstreams that were known last.
     pub known: Known,
     /// Why `known` could not be read, if it could not.
-    pub hints_fault: Option<String>,
+    pub hints_error: Option<String>,
 }
 
 impl Store {
@@ -46,12 +46,12 @@
             folder::Folder::open(path, instance, incarnation).change_context_lazy(context)?;
         let mirror = Mirror::load(loaded.snapshot.as_deref(), &loaded.records);
         let mirror = mirror.ok_or_else(|| error_stack::Report::new(context()))?;
-        let mut hints_fault = loaded.hints_error.map(|error| error.to_string());
+        let mut hints_error = loaded.hints_error.map(|error| error.to_string());
         let mut known = Known::default();
         if let Some(hints) = &loaded.hints {
             match postcard::from_bytes(hints) {
                 Ok(decoded) => known = decoded,
-                Err(e) => hints_fault = Some(e.to_string()),
+                Err(e) => hints_error = Some(e.to_string()),
             }
         }
         Ok(Self {
@@ -60,25 +60,25 @@
             incarnation: loaded.incarnation,
             truncated: loaded.truncated_bytes,
             known,
-            hints_fault,
+            hints_error,
         })
     }
 
-    /// The state from which the settings group starts.
+    /// Returns the state from which the settings group starts.
     pub fn recovered(&self) -> group::Recovered {
         self.mirror.recovered()
     }
 
-    /// Number of log entries after the snapshot.
-    pub fn entries(&self) -> usize {
+    /// Returns the number of log entries after the snapshot.
+    pub fn entry_count(&self) -> usize {
         self.mirror.entry_count()
     }
 
-    /// Starts the store thread; it calls `done` with the last number of each stored batch.
+    /// Starts the store thread; it calls `confirm` with the last number of each stored batch.
     pub fn run(
         mut self,
         log: slog::Logger,
-        done: impl Fn(u64) + Send + 'static,
+        confirm: impl Fn(u64) + Send + 'static,
     ) -> crossbeam_channel::Sender<Write> {
         let (sender, receiver) = crossbeam_channel::unbounded::<Write>();
         let run = move || {
@@ -87,14 +87,14 @@
                 if let Some(last) = batch.last().map(|(number, _)| *number) {
                     let start = time::Instant::now();
                     let stored = self.store(batch);
-                    metric::record_sync(start.elapsed());
+                    metric::record_disk_sync(start.elapsed());
                     if let Err(e) = stored {
                         // After a failed write the contents of the file are unknown, so this
                         // thread must never confirm anything again.
                         slog::crit!(log, "store: Writing failed, this voter stops."; "error" => %e);
                         return;
                     }
-                    done(last);
+                    confirm(last);
                 }
                 if let Some(known) = known {
                     self.save_known(&known, &log);
@@ -119,13 +119,13 @@
 
     fn store(&mut self, batch: Saves) -> Result<(), state::Error> {
         let is_snapshot = |save: &raft::Save| matches!(save, raft::Save::Snapshot { .. });
-        let compact = batch.iter().any(|(_, save)| is_snapshot(save));
+        let has_snapshot = batch.iter().any(|(_, save)| is_snapshot(save));
         let encode = |(_, save): &(u64, raft::Save)| postcard::to_stdvec(save).unwrap_or_default();
         let records: Vec<_> = batch.iter().map(encode).collect();
         for (_, save) in batch {
             self.mirror.apply(save);
         }
-        if compact && let Some((snapshot, records)) = self.mirror.compacted() {
+        if has_snapshot && let Some((snapshot, records)) = self.mirror.compacted() {
             return self.folder.compact(&snapshot, records.iter().map(Vec::as_slice));
         }
         self.folder.append(records.iter().map(Vec::as_slice))
--- a/crates/apricotroute/tests/evacuations.rs
+++ b/crates/apricotroute/tests/evacuations.rs
@@ -27,7 +27,7 @@
 
 /// Number of task starts on the upstreams of each zone.
 fn starts(system: &System) -> [u64; 2] {
-    let count = |at: usize| system.upstreams[at].starts().0;
+    let count = |at: usize| system.upstreams[at].start_counts().0;
     [count(0) + count(1), count(2) + count(3)]
 }
 
--- a/crates/apricotroute/tests/platform_path.rs
+++ b/crates/apricotroute/tests/platform_path.rs
@@ -42,9 +42,9 @@
         let (status, body) = system.submit(KEEPERS + number % 2, &id, 6);
         assert_eq!((status, body), (200, json!({"State": "completed"})));
     }
-    let starts: u64 = system.upstreams.iter().map(|upstream| upstream.starts().0).sum();
+    let starts: u64 = system.upstreams.iter().map(|upstream| upstream.start_counts().0).sum();
     assert_eq!(starts, 60, "each task ran once");
-    assert!(system.upstreams.iter().all(|upstream| upstream.starts().1 <= 2));
+    assert!(system.upstreams.iter().all(|upstream| upstream.start_counts().1 <= 2));
 }
 
 #[test]
--- a/crates/apricotroute/tests/soak/play.rs
+++ b/crates/apricotroute/tests/soak/play.rs
@@ -191,7 +191,7 @@
     fn replace_crashed(&mut self) {
         for upstream in 0..self.upstreams.len() {
             let (at, _) = self.upstreams[upstream];
-            if self.system.upstreams[at].is_gone() {
+            if self.system.upstreams[at].has_crashed() {
                 self.crash(upstream, Duration::from_millis(400));
             }
         }
@@ -320,7 +320,7 @@
             }
             Fault::Shrink(upstream, time) => {
                 let (at, _) = self.upstreams[upstream];
-                self.system.upstreams[at].set_room(TASK_CPU);
+                self.system.upstreams[at].set_capacity(TASK_CPU);
                 self.scheduled.push((Instant::now() + time, Step::RestoreRoom(upstream)));
             }
             Fault::Fatal(zone) => self.submit_fatal(zone),
@@ -351,7 +351,7 @@
             }
             Step::RestoreRoom(upstream) => {
                 let (at, _) = self.upstreams[upstream];
-                self.system.upstreams[at].set_room(UPSTREAM_CPU);
+                self.system.upstreams[at].set_capacity(UPSTREAM_CPU);
             }
             Step::EndLeave(upstream) => self.crash(upstream, Duration::from_millis(400)),
             Step::Replace(upstream) => {
--- a/crates/apricotroute/tests/system/mod.rs
+++ b/crates/apricotroute/tests/system/mod.rs
@@ -133,7 +133,7 @@
             zone: zone_name(zone),
             cpu: UPSTREAM_CPU,
             task_cpu: TASK_CPU,
-            length: Duration::from_millis(100),
+            duration: Duration::from_millis(100),
             max_lease: Duration::from_secs(1),
             address: address.unwrap_or_else(|| net::SocketAddr::from(([127, 0, 0, 1], 0))),
             to: self.keepers().map(|at| self.operator(at)).collect(),
--- a/crates/apricotroute/tests/upstream_troubles.rs
+++ b/crates/apricotroute/tests/upstream_troubles.rs
@@ -72,7 +72,7 @@
         for at in 0..system.upstreams.len() {
             let address = system.upstreams[at].address();
             let same_address = system.upstreams.iter().filter(|other| other.address() == address);
-            if system.upstreams[at].is_gone() && same_address.count() == 1 {
+            if system.upstreams[at].has_crashed() && same_address.count() == 1 {
                 system.upstreams[at].crash();
                 // The listener of the crashed upstream closes on a thread of its own.
                 let is_free = || net::TcpListener::bind(address).is_ok();
@@ -99,7 +99,7 @@
     let system = system(2);
     for upstream in &system.upstreams {
         upstream.disable_checks();
-        upstream.set_room(system::TASK_CPU);
+        upstream.set_capacity(system::TASK_CPU);
     }
     // Each upstream reports its capacity every 300 ms.
     thread::sleep(Duration::from_secs(1));
@@ -120,7 +120,7 @@
     }
     assert_eq!(excess_starts(), before, "tasks that exceed the capacity of their upstream");
     for upstream in &system.upstreams {
-        upstream.set_room(2 * system::TASK_CPU);
+        upstream.set_capacity(2 * system::TASK_CPU);
     }
     thread::sleep(Duration::from_secs(1));
     assert_eq!(submit(url(20), job(8)).join().unwrap(), (200, json!({"State": "completed"})));
--- a/crates/coord/tests/bodies.rs
+++ b/crates/coord/tests/bodies.rs
@@ -1,5 +1,5 @@
-//! Messages of other instances: decoding arbitrary bytes does not panic, and neither does handling
-//! any message that decodes.
+//! Messages from other instances: decoding arbitrary bytes does not panic, and neither does
+//! handling any message that decodes.
 
 mod net;
 
@@ -47,8 +47,13 @@
     })]
 
     #[test]
-    fn any_bytes(which in 0..11_usize, at in any::<usize>(), byte in any::<u8>(), edits in 0..4_usize) {
-        let mut bytes = machine::encode(&samples()[which]).to_vec();
+    fn any_bytes(
+        sample in 0..11_usize,
+        at in any::<usize>(),
+        byte in any::<u8>(),
+        edits in 0..4_usize,
+    ) {
+        let mut bytes = machine::encode(&samples()[sample]).to_vec();
         for edit in 0..edits {
             let at = at.wrapping_mul(edit + 1) % bytes.len();
             bytes[at] = byte.wrapping_add(edit as u8);
@@ -56,7 +61,7 @@
         if let Ok(body) = postcard::from_bytes::<Body>(&bytes) {
             let mut net = Net::new(&[("west", 3)], 3);
             net.run_until_ready(6_000);
-            net.event(0, Event::Peer("west-2".into(), body));
+            net.handle(0, Event::Peer("west-2".into(), body));
             net.tick();
         }
     }
--- a/crates/coord/tests/net/mod.rs
+++ b/crates/coord/tests/net/mod.rs
@@ -17,11 +17,11 @@
 };
 use state::{boot, id, name, tree, upstream};
 
-/// Wall clock at the start, milliseconds.
+/// The wall-clock time at the start, milliseconds.
 pub const EPOCH: u64 = 1_800_000_000_000;
 /// The service of all jobs.
 pub const SERVICE: &str = "polish-board";
-/// Time by which one tick advances the clocks of all instances, microseconds.
+/// The time by which one tick advances the clocks of all instances, microseconds.
 const STEP: u64 = 20_000;
 
 /// The host of one instance: the core while it runs, and the disk.
@@ -30,7 +30,9 @@
     pub core: Option<Core>,
     pub disk: Mirror,
     pub disk_id: u64,
+    /// Numbered writes that are not on the disk yet.
     unsynced: Vec<(u64, Save)>,
+    /// The last version of the settings.
     version: u64,
     frozen: bool,
 }
@@ -49,18 +51,25 @@
     pub instances: Vec<Instance>,
     pub hosts: Vec<Host>,
     pub in_transit: Vec<Envelope>,
+    /// Running tasks: the owning instance, the attempt and the start.
     pub running: Vec<(usize, u64, Start)>,
+    /// Stopped tasks, until the next tick ends them.
     stopped: Vec<(usize, u64, Start)>,
+    /// The names of the instances that started each task.
     pub starts: collections::BTreeMap<String, Vec<String>>,
     pub verdicts: Vec<(String, Verdict)>,
+    /// The version of each accepted change.
     pub accepted: collections::BTreeMap<uuid::Uuid, u64>,
     pub conflicts: collections::BTreeSet<uuid::Uuid>,
     pub log: Vec<String>,
     tickets: collections::BTreeMap<u64, Ticket>,
+    /// Pairs of a sender and a receiver whose messages are dropped.
     cuts: collections::BTreeSet<(usize, usize)>,
+    /// The monotonic time, microseconds.
     now: u64,
     incarnations: u64,
-    next: u64,
+    /// The number of the last ticket or job id.
+    last_number: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -95,7 +104,7 @@
             cuts: collections::BTreeSet::new(),
             now: 1,
             incarnations: 0,
-            next: 0,
+            last_number: 0,
             instances,
         };
         for _ in 0..net.instances.len() {
@@ -153,11 +162,11 @@
         }
     }
 
-    /// Freezes an instance, such as in a long scheduling pause, or lets it continue.
-    pub fn freeze(&mut self, at: usize, frozen: bool) {
+    /// Freezes an instance, as a long scheduling pause does, or unfreezes it.
+    pub fn set_frozen(&mut self, at: usize, frozen: bool) {
         self.hosts[at].frozen = frozen;
-        let what = if frozen { "freezes" } else { "wakes" };
-        self.record(format!("{} {what}", self.instances[at].name));
+        let verb = if frozen { "freezes" } else { "wakes" };
+        self.record(format!("{} {verb}", self.instances[at].name));
     }
 
     /// Crashes an instance and replaces its disk by an empty one.
@@ -169,8 +178,8 @@
         self.record(format!("{} loses its disk", self.instances[at].name));
     }
 
-    /// Cuts or heals the link from one instance to another in that direction.
-    pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
+    /// Cuts or heals one direction of the link between two instances.
+    pub fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
         if cut {
             self.cuts.insert((from, to));
         } else {
@@ -178,11 +187,11 @@
         }
     }
 
-    /// Cuts or heals both directions between an instance and all others.
-    pub fn isolate(&mut self, at: usize, cut: bool) {
+    /// Cuts or heals both directions of the links between an instance and all others.
+    pub fn set_isolated(&mut self, at: usize, cut: bool) {
         for other in (0..self.hosts.len()).filter(|other| *other != at) {
-            self.cut(at, other, cut);
-            self.cut(other, at, cut);
+            self.set_cut(at, other, cut);
+            self.set_cut(other, at, cut);
         }
     }
 
@@ -192,7 +201,7 @@
     }
 
     /// Passes an event to an instance and processes its outputs.
-    pub fn event(&mut self, at: usize, event: Event) {
+    pub fn handle(&mut self, at: usize, event: Event) {
         let now = self.now();
         if self.hosts[at].frozen {
             return;
@@ -202,11 +211,11 @@
         };
         let outputs = core.handle(event, now);
         for output in outputs {
-            self.output(at, output);
+            self.apply(at, output);
         }
     }
 
-    fn output(&mut self, at: usize, output: Output) {
+    fn apply(&mut self, at: usize, output: Output) {
         match output {
             Output::Send(to, body) => {
                 let to = self.instances.iter().position(|i| i.name == to).unwrap();
@@ -216,8 +225,8 @@
             Output::Start(start) => {
                 assert!(start.lease > self.now, "a start without a lease");
                 let task = format!("{}/{}", start.task.job, start.task.index);
-                let who = self.instances[at].name.to_string();
-                self.starts.entry(task).or_default().push(who);
+                let owner = self.instances[at].name.to_string();
+                self.starts.entry(task).or_default().push(owner);
                 self.record(format!(
                     "{} starts task {}",
                     self.instances[at].name, start.task.index
@@ -232,7 +241,7 @@
                     self.stopped.push(self.running.swap_remove(found));
                 }
             }
-            Output::Reply(ticket, reply) => self.reply(at, ticket, reply),
+            Output::Reply(ticket, reply) => self.record_reply(at, ticket, reply),
             Output::Settings => {
                 let version = self.hosts[at].core.as_ref().map_or(0, |core| core.tree().version());
                 assert!(version >= self.hosts[at].version, "the settings version decreased");
@@ -243,26 +252,26 @@
         }
     }
 
-    fn reply(&mut self, at: usize, ticket: u64, reply: Reply) {
-        let asked = self.tickets.remove(&ticket);
-        let who = self.instances[at].name.clone();
-        match (asked, reply) {
+    fn record_reply(&mut self, at: usize, ticket: u64, reply: Reply) {
+        let request = self.tickets.remove(&ticket);
+        let name = self.instances[at].name.clone();
+        match (request, reply) {
             (Some(Ticket::Job(job)), Reply::Verdict(verdict)) => {
-                self.record(format!("{who} answers: {}", summary(&verdict)));
+                self.record(format!("{name} answers: {}", summary(&verdict)));
                 self.verdicts.push((job, verdict));
             }
             (Some(Ticket::Change(change)), Reply::Changed(outcome)) => {
-                self.record(format!("{who} answers change: {outcome:?}"));
-                self.outcome(change, outcome);
+                self.record(format!("{name} answers change: {outcome:?}"));
+                self.record_outcome(change, outcome);
             }
             (Some(Ticket::Change(_)), Reply::Unknown(_)) => {
-                self.record(format!("{who} answers change: unknown"));
+                self.record(format!("{name} answers change: unknown"));
             }
             _ => {}
         }
     }
 
-    fn outcome(&mut self, change: uuid::Uuid, outcome: tree::Outcome) {
+    fn record_outcome(&mut self, change: uuid::Uuid, outcome: tree::Outcome) {
         match outcome {
             tree::Outcome::Accepted(version) => {
                 assert!(!self.conflicts.contains(&change), "a change has two outcomes");
@@ -276,30 +285,30 @@
         }
     }
 
-    fn ticket(&mut self, ticket: Ticket) -> u64 {
-        self.next += 1;
-        self.tickets.insert(self.next, ticket);
-        self.next
+    fn add_ticket(&mut self, ticket: Ticket) -> u64 {
+        self.last_number += 1;
+        self.tickets.insert(self.last_number, ticket);
+        self.last_number
     }
 
     /// Submits a job of `tasks` tasks whose deadline is in `left_ms` milliseconds.
     pub fn submit(&mut self, at: usize, job: &id::JobId, tasks: usize, left_ms: u64) {
-        let ticket = self.ticket(Ticket::Job(job.to_string()));
-        self.event(at, Event::Submit(ticket, spec(job, tasks, left_ms)));
+        let ticket = self.add_ticket(Ticket::Job(job.to_string()));
+        self.handle(at, Event::Submit(ticket, spec(job, tasks, left_ms)));
     }
 
-    /// Changes the settings.
+    /// Submits a change of the settings at `path`, for the version `base` if there is one.
     pub fn change(&mut self, at: usize, number: u128, base: Option<u64>, path: &str) {
         let change = uuid::Uuid::from_u128(number);
-        let ticket = self.ticket(Ticket::Change(change));
+        let ticket = self.add_ticket(Ticket::Change(change));
         let values = format!("{{\"max_queue\": {}}}", number % 1_000);
         let path = name::Name::new(path);
-        self.event(at, Event::Change(ticket, tree::Change { change, base, path, values }));
+        self.handle(at, Event::Change(ticket, tree::Change { change, base, path, values }));
     }
 
     /// Announces an upstream at an instance.
     pub fn announce(&mut self, at: usize, upstream: &str, slots: u32) {
-        let ticket = self.ticket(Ticket::Other);
+        let ticket = self.add_ticket(Ticket::Other);
         let info = upstream::Upstream {
             name: name::Name::new(upstream),
             service: name::Name::new(SERVICE),
@@ -310,23 +319,23 @@
             capacity: None,
             sequence: 0,
         };
-        self.event(at, Event::Announce(ticket, info));
+        self.handle(at, Event::Announce(ticket, info));
     }
 
-    /// Ends a running task.
+    /// Ends a running task, selected by `at` modulo the number of running tasks.
     pub fn finish(&mut self, at: usize, ok: bool) {
         if self.running.is_empty() {
             return;
         }
-        // A frozen instance processes the answers of its tasks only after it continues.
+        // A frozen instance processes the answers of its tasks only after it is unfrozen.
         if self.hosts[self.running[at % self.running.len()].0].frozen {
             return;
         }
         let run = self.running.swap_remove(at % self.running.len());
-        self.end(run, ok);
+        self.end_run(run, ok);
     }
 
-    /// Answers all running tasks, including those that start as a result.
+    /// Ends all running tasks with an answer, including those that start as a result.
     pub fn finish_all(&mut self) {
         while !self.running.is_empty() {
             self.finish(0, true);
@@ -343,7 +352,7 @@
         }
     }
 
-    fn end(&mut self, run: (usize, u64, Start), ok: bool) {
+    fn end_run(&mut self, run: (usize, u64, Start), ok: bool) {
         let (owner, _, start) = run;
         let body = format!("{}", start.task.index).into();
         let content_type = name::Name::new("application/json");
@@ -354,15 +363,16 @@
         };
         let (task, attempt, upstream) = (start.task, start.attempt, start.upstream);
         let done = Done { task, attempt, upstream, took: 50_000, finish };
-        self.event(owner, Event::Done(done));
+        self.handle(owner, Event::Done(done));
     }
 
-    /// Delivers the message at this position, or drops it if the link is cut.
+    /// Delivers one message, or drops it if the link is cut. The message is selected by `at` modulo
+    /// the number of messages in transit.
     pub fn deliver(&mut self, at: usize) {
         let envelope = self.in_transit.remove(at % self.in_transit.len());
         if !self.cuts.contains(&(envelope.from, envelope.to)) {
             let from = self.instances[envelope.from].name.clone();
-            self.event(envelope.to, Event::Peer(from, envelope.body));
+            self.handle(envelope.to, Event::Peer(from, envelope.body));
         }
     }
 
@@ -379,25 +389,25 @@
         for (_, save) in unsynced {
             self.hosts[at].disk.apply(save);
         }
-        self.event(at, Event::Saved(last));
+        self.handle(at, Event::Saved(last));
     }
 
-    /// Advances the time without delivering messages.
+    /// Advances the time by one tick without delivering messages, and ends stopped tasks.
     pub fn tick(&mut self) {
         self.now += STEP;
         for at in 0..self.hosts.len() {
-            self.event(at, Event::Tick);
+            self.handle(at, Event::Tick);
         }
         for run in std::mem::take(&mut self.stopped) {
             if self.hosts[run.0].frozen {
                 self.stopped.push(run);
             } else {
-                self.end(run, false);
+                self.end_run(run, false);
             }
         }
     }
 
-    /// Advances the time; messages are delivered and disks synced in order.
+    /// Advances the time by `ms` milliseconds, delivers messages in order and syncs disks.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + ms * 1_000;
         while self.now < until {
@@ -406,7 +416,7 @@
         }
     }
 
-    /// Delivers all messages and syncs all disks until none are left.
+    /// Delivers messages and syncs disks until no message is in transit.
     pub fn settle(&mut self) {
         const LIMIT: usize = 20_000;
         let mut count = 0;
@@ -448,7 +458,7 @@
         let line = |core: &Core| {
             let status = core.status(now);
             let group = |g: &coord::status::Group| {
-                let leader = g.leader.as_deref().unwrap_or("nobody");
+                let leader = g.leader.as_deref().unwrap_or("no leader");
                 format!("  {} t{} c{} {leader} {}\n", g.group, g.term, g.commit, g.voters.join(" "))
             };
             let groups: String = status.groups.iter().map(group).collect();
@@ -459,13 +469,14 @@
 
     /// Returns a new job id.
     pub fn new_job_id(&mut self, zone: &str) -> id::JobId {
-        self.next += 1;
-        new_job_id(zone, self.now().wall, self.next)
+        self.last_number += 1;
+        new_job_id(zone, self.now().wall, self.last_number)
     }
 
-    /// Asserts the invariants that hold at any time.
+    /// Asserts the invariants that must hold at any time.
     pub fn check_invariants(&self) {
-        let duplicates: Vec<_> = self.starts.iter().filter(|(_, who)| who.len() > 1).collect();
+        let duplicates: Vec<_> =
+            self.starts.iter().filter(|(_, owners)| owners.len() > 1).collect();
         assert!(duplicates.is_empty(), "started twice: {duplicates:?}");
         let mut states = collections::BTreeMap::<_, collections::BTreeSet<_>>::new();
         for (job, verdict) in &self.verdicts {
@@ -481,8 +492,12 @@
             }
         }
         for (job, states) in states {
-            let both = states.contains("complete") && states.contains("failed");
-            assert!(!both, "{job} was reported as both complete and failed: {:#?}", self.log);
+            let contradictory = states.contains("complete") && states.contains("failed");
+            assert!(
+                !contradictory,
+                "{job} was reported as both complete and failed: {:#?}",
+                self.log
+            );
             let ran = self.starts.keys().any(|task| task.starts_with(&format!("{job}/")));
             // "Not run" refers to one submission. Another submission of the same job may be in
             // progress at another instance, or may have been lost with its instance.
--- a/crates/coord/tests/queues.rs
+++ b/crates/coord/tests/queues.rs
@@ -1,4 +1,4 @@
-//! The queue of a service, retry budgets, the answer cache, and seats.
+//! The queue of a service, retry budgets, the answer cache, and the seats of consensus groups.
 
 use std::collections;
 
@@ -75,15 +75,15 @@
 }
 
 fn instances(zones: &[(&str, usize)], disks: usize) -> Vec<Instance> {
-    let of = |(zone, count): &(&str, usize)| {
-        let one = |number: usize| Instance {
+    let in_zone = |(zone, count): &(&str, usize)| {
+        let instance = |number: usize| Instance {
             name: Name::new(&format!("{zone}-{number}")),
             zone: Name::new(zone),
             has_disk: number < disks,
         };
-        (0..*count).map(one).collect::<Vec<_>>()
+        (0..*count).map(instance).collect::<Vec<_>>()
     };
-    zones.iter().flat_map(of).collect()
+    zones.iter().flat_map(in_zone).collect()
 }
 
 #[test]
--- a/crates/coord/tests/random_faults.rs
+++ b/crates/coord/tests/random_faults.rs
@@ -67,7 +67,7 @@
     net.run(500);
     let count = net.hosts.len();
     let jobs: Vec<_> = (0..6).map(|_| net.new_job_id("west")).collect();
-    let mut lost = 0;
+    let mut lost_disks = 0;
     for step in steps {
         // The upstream repeats its announcement at every instance.
         for at in 0..count {
@@ -95,16 +95,16 @@
             Step::Crash(at) => net.crash(usize::from(at) % count),
             Step::Restart(at) => net.restart(usize::from(at) % count),
             Step::LoseDisk(at) => {
-                // One lost disk at a time: it is repaired before the next is lost.
-                let healthy = net.hosts.iter().all(|host| host.core.is_some());
-                if lost == 0 && healthy {
+                // At most one disk is lost in a run, and only while all instances are running.
+                let all_running = net.hosts.iter().all(|host| host.core.is_some());
+                if lost_disks == 0 && all_running {
                     net.lose_disk(usize::from(at) % 3);
-                    lost += 1;
+                    lost_disks += 1;
                 }
             }
-            Step::Freeze(at, on) => net.freeze(usize::from(at) % count, on),
-            Step::Cut(a, b, on) => net.cut(usize::from(a) % count, usize::from(b) % count, on),
-            Step::Isolate(at, on) => net.isolate(usize::from(at) % count, on),
+            Step::Freeze(at, on) => net.set_frozen(usize::from(at) % count, on),
+            Step::Cut(a, b, on) => net.set_cut(usize::from(a) % count, usize::from(b) % count, on),
+            Step::Isolate(at, on) => net.set_isolated(usize::from(at) % count, on),
             Step::Heal => net.heal(),
             Step::Submit(at, job) => {
                 let job = &jobs[usize::from(job)];
@@ -124,12 +124,12 @@
     recover(&mut net, count);
 }
 
-/// Heals all links and restarts all instances. Accepted changes must be present, and new jobs
-/// must run.
+/// Heals all links, restarts the crashed instances and asserts that accepted changes are present
+/// and that new jobs run.
 fn recover(net: &mut Net, count: usize) {
     net.heal();
     for at in 0..count {
-        net.freeze(at, false);
+        net.set_frozen(at, false);
         net.restart(at);
     }
     // Longer than the time after which slots whose grant was lost are reclaimed.
@@ -192,7 +192,8 @@
     run_steps(&[("west", 2), ("mid", 2), ("east", 1)], &steps);
 }
 
-/// Guards against a loan that stays valid after the borrowing incarnation of an instance is gone.
+/// Guards against a loan that stays valid after the incarnation of the instance that borrowed has
+/// ended.
 #[test]
 fn former_loan() {
     use Step::{Crash, Cut, Deliver, Finish, Restart, Run, Submit, Tick};
--- a/crates/coord/tests/sessions.rs
+++ b/crates/coord/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Runs of whole scenarios on simulated instances, compared with golden files.
+//! Whole scenarios on simulated instances, whose logs are compared with golden files.
 
 mod net;
 
@@ -8,7 +8,7 @@
 };
 use net::{Net, SERVICE};
 
-fn zone() -> Net {
+fn started_zone() -> Net {
     let mut net = Net::new(&[("west", 3)], 3);
     net.run_until_ready(6_000);
     net.change(0, 1, None, SERVICE);
@@ -18,14 +18,14 @@
     net
 }
 
-fn golden(name: &str, net: &Net) {
+fn assert_golden(name: &str, net: &Net) {
     net.check_invariants();
     insta::assert_snapshot!(name, net.log.join("\n"));
 }
 
 #[test]
 fn owner_dies() {
-    let mut net = zone();
+    let mut net = started_zone();
     let job = net.new_job_id("west");
     net.submit(0, &job, 4, 8_000);
     net.run(100);
@@ -35,35 +35,35 @@
     net.run(3_000);
     net.submit(2, &job, 4, 8_000);
     net.run(200);
-    golden("owner_dies", &net);
+    assert_golden("owner_dies", &net);
 }
 
 #[test]
 fn owner_frozen() {
-    let mut net = zone();
+    let mut net = started_zone();
     let job = net.new_job_id("west");
     net.submit(0, &job, 12, 8_000);
     net.run(100);
-    net.freeze(0, true);
+    net.set_frozen(0, true);
     net.submit(1, &job, 12, 8_000);
     net.run(3_000);
-    net.freeze(0, false);
+    net.set_frozen(0, false);
     // The answers of its tasks arrive. It starts no further task and is admitted again.
     net.finish_all();
     net.run(1_000);
-    golden("owner_frozen", &net);
+    assert_golden("owner_frozen", &net);
 }
 
 #[test]
 fn leader_isolated() {
-    let mut net = zone();
+    let mut net = started_zone();
     let job = net.new_job_id("west");
     let leader = (0..3).find(|at| {
         let core = net.hosts[*at].core.as_ref().unwrap();
         core.journal_leader().starts_with(core.status(net.now()).instance.as_str())
     });
     let leader = leader.unwrap();
-    net.isolate(leader, true);
+    net.set_isolated(leader, true);
     net.submit(leader, &job, 2, 8_000);
     net.run(1_000);
     // The same submission at an instance of the majority.
@@ -73,12 +73,12 @@
     net.run(1_000);
     net.heal();
     net.run(3_000);
-    golden("leader_isolated", &net);
+    assert_golden("leader_isolated", &net);
 }
 
 #[test]
 fn memory_lost() {
-    let mut net = zone();
+    let mut net = started_zone();
     let job = net.new_job_id("west");
     net.submit(0, &job, 1, 8_000);
     net.run(100);
@@ -89,12 +89,12 @@
     net.announce(0, "u1", 6);
     net.submit(1, &job, 1, 8_000);
     net.run(200);
-    golden("memory_lost", &net);
+    assert_golden("memory_lost", &net);
 }
 
 #[test]
 fn operators_race() {
-    let mut net = zone();
+    let mut net = started_zone();
     // Changes with the same base version at different instances, then a leader that crashes before
     // it answers.
     net.change(0, 11, Some(1), "ireland");
@@ -110,12 +110,12 @@
     net.change(2, 12, Some(1), "ireland");
     net.run(200);
     net.check_changes();
-    golden("operators_race", &net);
+    assert_golden("operators_race", &net);
 }
 
 #[test]
 fn disk_lost_twice() {
-    let mut net = zone();
+    let mut net = started_zone();
     net.change(0, 21, None, "ireland");
     net.run(300);
     net.lose_disk(1);
@@ -129,12 +129,12 @@
     net.restart(2);
     net.run(3_000);
     net.check_changes();
-    golden("disk_lost_twice", &net);
+    assert_golden("disk_lost_twice", &net);
 }
 
 #[test]
 fn unsynced_change() {
-    let mut net = zone();
+    let mut net = started_zone();
     // Messages are delivered but disks do not sync: the change is not acknowledged. Then all
     // instances crash.
     net.change(0, 31, None, "ireland");
@@ -144,7 +144,7 @@
             net.deliver(0);
         }
     }
-    assert!(net.accepted.len() == 1, "only the service itself is acknowledged");
+    assert!(net.accepted.len() == 1, "only the change that adds the service is acknowledged");
     net.restart_all();
     net.run(4_000);
     net.run_until_ready(4_000);
@@ -164,7 +164,7 @@
     net.run(4_000);
     net.run_until_ready(4_000);
     net.check_changes();
-    golden("unsynced_change", &net);
+    assert_golden("unsynced_change", &net);
 }
 
 #[test]
@@ -177,28 +177,29 @@
     net.run(400);
     let job = net.new_job_id("west");
     net.submit(2, &job, 1, 8_000);
-    // The submission to west-1 is delayed. West-2, tried next, is draining and refuses it.
-    let late = net
+    // The submission to west-1 is delayed. The next instance to receive it, west-2, is draining and
+    // refuses it.
+    let delayed = net
         .in_transit
         .iter()
         .position(|envelope| matches!(envelope.body, Body::Job(Job::Forward { .. })));
-    let late = net.in_transit.remove(late.unwrap());
-    assert_eq!(net.instances[late.to].name.as_str(), "west-1");
-    net.event(1, Event::Drain);
-    net.cut(0, 2, true);
+    let delayed = net.in_transit.remove(delayed.unwrap());
+    assert_eq!(net.instances[delayed.to].name.as_str(), "west-1");
+    net.handle(1, Event::Drain);
+    net.set_cut(0, 2, true);
     net.run(2_000);
     net.heal();
     net.announce(0, "u1", 4);
-    net.in_transit.push(late);
+    net.in_transit.push(delayed);
     net.settle();
     net.finish_all();
     net.run(300);
-    golden("forwarded_twice", &net);
+    assert_golden("forwarded_twice", &net);
 }
 
 #[test]
 fn loan_of_former_life() {
-    let mut net = zone();
+    let mut net = started_zone();
     let job = net.new_job_id("west");
     net.submit(1, &job, 6, 8_000);
     net.run(200);
@@ -207,17 +208,17 @@
     net.crash(1);
     net.restart(1);
     net.run(3_000);
-    assert_eq!(lent(&net), 0, "long before the loan would lapse");
+    assert_eq!(lent(&net), 0, "the loan ends long before it would expire");
 }
 
 #[test]
 fn adopted_directly() {
-    let mut net = zone();
+    let mut net = started_zone();
     let old = net.new_job_id("west");
     net.submit(0, &old, 1, 8_000);
     net.run(100);
     net.finish(0, true);
-    net.isolate(0, true);
+    net.set_isolated(0, true);
     // The other two restart without state and form a new journal of the zone.
     for at in [1, 2] {
         net.crash(at);
@@ -247,5 +248,5 @@
     net.run(300);
     net.finish(0, true);
     net.run(300);
-    golden("adopted_directly", &net);
+    assert_golden("adopted_directly", &net);
 }
--- a/crates/coord/tests/slots.rs
+++ b/crates/coord/tests/slots.rs
@@ -9,6 +9,7 @@
 use proptest::prelude::*;
 use state::{Name, boot, upstream};
 
+/// One second, microseconds.
 const SECOND: u64 = 1_000_000;
 
 fn upstream(name: &str, slots: u32) -> upstream::Upstream {
@@ -160,7 +161,7 @@
         let mut now = SECOND;
         let mut running = [0_u32; 3];
         let service = Name::new("a");
-        let mut late = false;
+        let mut may_exceed = false;
         for step in steps {
             match step {
                 Step::Start(at) => running[at] += u32::from(pick(&mut fleets[at], now).is_some()),
@@ -186,7 +187,7 @@
                     now += time;
                     // A task that runs longer than its loan still occupies the slot. The upstream
                     // itself refuses a task in excess of its slots.
-                    late |= running.iter().sum::<u32>() > 0;
+                    may_exceed |= running.iter().sum::<u32>() > 0;
                     for fleet in &mut fleets {
                         fleet.prune(now);
                     }
@@ -196,10 +197,11 @@
                         let gone = if other == at { None } else { Some(&names[at]) };
                         fleet.retain_loans(|name| gone.is_some_and(|gone| gone != name));
                     }
-                    late |= running.iter().sum::<u32>() > 0;
+                    may_exceed |= running.iter().sum::<u32>() > 0;
                 }
             }
-            prop_assert!(late || running.iter().sum::<u32>() <= slots, "{running:?} of {slots}");
+            let used = running.iter().sum::<u32>();
+            prop_assert!(may_exceed || used <= slots, "{running:?} of {slots}");
         }
     }
 }
--- a/crates/dispatch/benches/scheduler.rs
+++ b/crates/dispatch/benches/scheduler.rs
@@ -1,5 +1,5 @@
 //! Measures the time of a scheduler's decisions for one zone of a large site: 117 upstreams, 160
-//! jobs and some 570 starts per second; then with three times as many jobs, which exceed the
+//! jobs and some 570 starts per second; then for three times as many jobs, which exceed the
 //! capacity. Prints the time as a share of one core of this machine.
 
 #[path = "../tests/world/mod.rs"]
@@ -9,9 +9,9 @@
 
 use world::World;
 
-/// Measured virtual time, in milliseconds.
+/// The measured virtual time, milliseconds.
 const DURATION: u64 = 10_000;
-/// Time between two jobs, in milliseconds.
+/// The time between two jobs, milliseconds.
 const JOB_INTERVAL: u64 = 6;
 
 fn main() {
@@ -19,12 +19,12 @@
     measure("overload", JOB_INTERVAL / 3);
 }
 
-fn measure(label: &str, gap: u64) {
+fn measure(label: &str, interval: u64) {
     let mut world = World::new(1, 1, 4, 117);
     world.run(3_000);
-    world.spent.clear();
+    world.handling_time.clear();
     let started = time::Instant::now();
-    for at in 0..DURATION / gap {
+    for at in 0..DURATION / interval {
         // Jobs per second: 34 with 8 tasks, 6 with 4 tasks, 100 with 2 tasks.
         let (count, length) = match at % 23 {
             0..6 => (8, 60),
@@ -32,11 +32,11 @@
             _ => (2, 200),
         };
         world.submit(0, count, 14_000, length);
-        world.run(gap);
+        world.run(interval);
     }
     let elapsed = started.elapsed();
-    let keeper = world.spent.get(&0).copied().unwrap_or_default();
+    let keeper = world.handling_time.get(&0).copied().unwrap_or_default();
     let share = keeper.as_secs_f64() * 1_000.0 / DURATION as f64 * 100.0;
-    println!("{label}: {share:.2}% of a core for decisions ({elapsed:?} for the whole world)");
-    println!("{label}: complete {}", world.complete());
+    println!("{label}: {share:.2}% of a core for decisions ({elapsed:?} for the whole simulation)");
+    println!("{label}: complete {}", world.count_complete());
 }
--- a/crates/dispatch/tests/adopted.rs
+++ b/crates/dispatch/tests/adopted.rs
@@ -8,7 +8,7 @@
 
 const ZONES: usize = 3;
 const ENTRIES: usize = 6;
-/// Number of instances in a zone. The keeper has the lowest index.
+/// The number of instances in a zone. The keeper has the lowest index.
 const ZONE_SIZE: usize = ENTRIES + 1;
 const UPSTREAMS: usize = 10;
 
@@ -27,7 +27,9 @@
     world
 }
 
+/// Submits jobs in all zones for `ms` milliseconds.
 fn submit_load(world: &mut World, ms: u64) {
+    /// The time between two jobs, milliseconds.
     const INTERVAL: u64 = 25;
     for at in 0..ms / INTERVAL {
         let (count, length) = [(4, 60), (2, 200), (1, 600)][at as usize % 3];
@@ -61,7 +63,7 @@
         submit_load(&mut world, 2_000);
         world.run(4_000);
         assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
-        let (good, all) = world.in_time();
+        let (good, all) = world.count_in_time();
         // The rest are jobs that were in progress or arrived before the zone had a scheduler again.
         assert!(good * 100 >= all * 88, "seed {seed}: {good} of {all} in time");
     }
@@ -81,7 +83,7 @@
         assert_eq!(world.schedulers(1), [keeper(1)], "seed {seed}");
         world.run(4_000);
         assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
-        let complete = world.complete();
+        let complete = world.count_complete();
         assert_eq!(complete, world.requests.len(), "seed {seed}");
     }
 }
@@ -133,10 +135,10 @@
 fn zone_cut_off() {
     for seed in 0..4 {
         let mut world = started_world(seed);
-        world.cut_zone(0, true);
+        world.set_zone_cut(0, true);
         submit_load(&mut world, 3_000);
         assert_eq!(world.schedulers(0), [keeper(0)], "seed {seed}");
-        world.cut_zone(0, false);
+        world.set_zone_cut(0, false);
         submit_load(&mut world, 500);
         assert_eq!(world.schedulers(0), [keeper(0)], "seed {seed}");
         world.run(4_000);
@@ -149,14 +151,14 @@
 #[test]
 fn lost_behind_cut() {
     let mut world = started_world(2);
-    world.cut_zone(0, true);
+    world.set_zone_cut(0, true);
     world.run(500);
     world.kill(keeper(0));
     submit_load(&mut world, 2_500);
     let schedulers = world.schedulers(0);
     assert_eq!(schedulers.len(), 1, "{schedulers:?}");
     assert_eq!(schedulers[0] / ZONE_SIZE, 0, "one of its own entries");
-    world.cut_zone(0, false);
+    world.set_zone_cut(0, false);
     world.start(keeper(0));
     submit_load(&mut world, 2_500);
     assert_eq!(world.schedulers(0), [keeper(0)]);
@@ -172,7 +174,7 @@
         world.kill(keeper(0));
         submit_load(&mut world, 1_500);
         for at in 0..UPSTREAMS / 2 {
-            world.upstreams[at].crash(&format!("new-{at}"));
+            world.upstreams[at].restart_as(&format!("new-{at}"));
             world.announce(at, Phase::Serving);
             submit_load(&mut world, 200);
         }
@@ -205,10 +207,10 @@
             world.kill(at);
         }
         world.run(1_200);
-        world.notes.clear();
+        world.log_counts.clear();
         // Instances open their streams, and each keeper reads its disk and contacts a hundred
         // upstreams.
-        world.busy = 250_000;
+        world.message_delay = 250_000;
         for at in 0..world.instances.len() {
             if at % ZONE_SIZE == 0 {
                 world.start(at);
@@ -221,12 +223,12 @@
             }
         }
         submit_load(&mut world, 800);
-        world.busy = 0;
+        world.message_delay = 0;
         submit_load(&mut world, 1_500);
         for zone in 0..ZONES {
             assert_eq!(world.schedulers(zone), [keeper(zone)], "seed {seed}, zone {zone}");
         }
-        assert_eq!(world.notes["zone: Scheduling."], ZONES as u64, "seed {seed}");
+        assert_eq!(world.log_counts["zone: Scheduling."], ZONES as u64, "seed {seed}");
         world.run(4_000);
         assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
     }
--- a/crates/dispatch/tests/claims.rs
+++ b/crates/dispatch/tests/claims.rs
@@ -1,4 +1,4 @@
-//! When an instance claims a zone, depending on the claims that it has received.
+//! The time at which an instance claims a zone, depending on the claims that it has received.
 
 use dispatch::{
     claim::Claim,
@@ -12,15 +12,15 @@
 const WALL_CLOCK_MS: u64 = 1_800_000_000_000;
 
 /// Returns when an entry claims its zone if the zone lost its last other instance as the entry
-/// started, milliseconds. The entry receives the keeper's claim at `heard`, if at all, and never a
-/// heartbeat of any instance.
-fn claim_time(candidate: Candidate, heard: Option<u64>) -> u64 {
-    claim_time_at_age(0, candidate, heard)
+/// started, milliseconds. The entry receives the keeper's claim at `received_at` milliseconds, or
+/// never if that is `None`, and it receives no heartbeat.
+fn claim_time(candidate: Candidate, received_at: Option<u64>) -> u64 {
+    claim_time_at_age(0, candidate, received_at)
 }
 
-/// Does the same for an entry that has been running for `age` milliseconds when its zone loses the
-/// other instances.
-fn claim_time_at_age(age: u64, candidate: Candidate, heard: Option<u64>) -> u64 {
+/// Returns the same as `claim_time` for an entry that has been running for `age` milliseconds when
+/// its zone loses the other instances.
+fn claim_time_at_age(age: u64, candidate: Candidate, received_at: Option<u64>) -> u64 {
     let card =
         |name: &str, role| Card { name: name.into(), zone: "west".into(), role, incarnation: 7 };
     let membership = Membership::new(card("10.0.0.2:7", Role::Entry), &[], 0);
@@ -29,7 +29,7 @@
         Claim { zone: "west".into(), epoch: 9, holder: "10.0.0.1:7".into(), incarnation: 7 };
     for ms in (0..10_000).step_by(20) {
         let now = Now::new((age + ms) * MS, WALL_CLOCK_MS + age + ms);
-        if heard == Some(ms) {
+        if received_at == Some(ms) {
             claims.merge(&keeper, now.mono);
         }
         if claims.campaign(&membership, candidate, now).is_some() {
@@ -44,7 +44,7 @@
 /// Entries must not claim a zone that its restarted keeper has just claimed. After a power loss all
 /// instances restarted within 150 ms, and the keepers claimed their zones. Entries that had not yet
 /// received a heartbeat from them claimed the zones too: after 40 ms if they knew no upstream and
-/// so took themselves for strong enough, or after 300 ms if they had received the claim but no
+/// so considered themselves strong enough, or after 300 ms if they had received the claim but no
 /// heartbeat of its holder. Four entries of one zone did so within 20 ms, each with a higher claim
 /// than the one before. The last of them scheduled the zone for 1.4 s with 0.12 of a core while all
 /// clients reconnected: 550 answers of 2 s were late, and 245 jobs were refused.
--- a/crates/dispatch/tests/configuration.rs
+++ b/crates/dispatch/tests/configuration.rs
@@ -31,7 +31,7 @@
     world.reply(ticket).cloned()
 }
 
-fn newest(version: u64, text: &str) -> Reply {
+fn newest_reply(version: u64, text: &str) -> Reply {
     let body = text.to_owned().into();
     Reply::Newest(Document { version, body })
 }
@@ -59,7 +59,7 @@
     assert!(replies.contains(&Some(Reply::Noted)) && replies.contains(&Some(Reply::Conflict)));
     let winner = if replies[0] == Some(Reply::Noted) { "one" } else { "other" };
     for keeper in KEEPERS {
-        assert_eq!(read(&mut world, keeper), Some(newest(5, winner)));
+        assert_eq!(read(&mut world, keeper), Some(newest_reply(5, winner)));
         assert_eq!(
             publish(&mut world, keeper, 5, winner),
             Some(Reply::Noted),
@@ -68,7 +68,7 @@
         assert_eq!(publish(&mut world, keeper, 4, "older"), Some(Reply::Noted));
         assert_eq!(
             read(&mut world, keeper),
-            Some(newest(5, winner)),
+            Some(newest_reply(5, winner)),
             "an older version has no effect"
         );
     }
@@ -78,14 +78,14 @@
 fn minority_cannot_tell() {
     let mut world = started_world(3);
     assert_eq!(publish(&mut world, 0, 1, "text"), Some(Reply::Noted));
-    world.cut_zone(0, true);
+    world.set_zone_cut(0, true);
     world.run(2_000);
     assert_eq!(publish(&mut world, 2, 2, "newer"), Some(Reply::Noted));
     assert_eq!(read(&mut world, 0), Some(Reply::Unavailable));
     assert_eq!(publish(&mut world, 0, 3, "lost"), Some(Reply::Unavailable));
-    world.cut_zone(0, false);
+    world.set_zone_cut(0, false);
     world.run(3_000);
-    assert_eq!(read(&mut world, 0), Some(newest(2, "newer")));
+    assert_eq!(read(&mut world, 0), Some(newest_reply(2, "newer")));
 }
 
 #[test]
@@ -96,7 +96,7 @@
         for seed in 0..5 {
             let mut world = started_world(seed);
             assert_eq!(publish(&mut world, KEEPERS[0], 9, "text"), Some(Reply::Noted));
-            world.wipe(wiped);
+            world.lose_disk(wiped);
             for at in 0..world.instances.len() {
                 world.kill(at);
             }
@@ -107,7 +107,7 @@
             world.run(4_000);
             assert_eq!(
                 read(&mut world, wiped),
-                Some(newest(9, "text")),
+                Some(newest_reply(9, "text")),
                 "seed {seed}, lost {wiped}"
             );
         }
@@ -121,12 +121,12 @@
     let mut world = started_world(6);
     for (version, keeper) in (1..).zip(KEEPERS) {
         assert_eq!(publish(&mut world, keeper, version, "text"), Some(Reply::Noted));
-        world.wipe(keeper);
+        world.lose_disk(keeper);
         world.run(700);
         world.start(keeper);
         world.run(4_000);
     }
-    assert_eq!(read(&mut world, KEEPERS[0]), Some(newest(3, "text")));
+    assert_eq!(read(&mut world, KEEPERS[0]), Some(newest_reply(3, "text")));
 }
 
 #[test]
@@ -138,9 +138,9 @@
         assert_eq!(publish(&mut world, keeper, version, "text"), Some(Reply::Noted));
         world.kill(keeper);
         world.run(1_000);
-        world.move_keeper(keeper, &format!("10.{keeper}.7.7:7"));
+        world.replace_keeper(keeper, &format!("10.{keeper}.7.7:7"));
         world.run(8_000);
-        assert_eq!(read(&mut world, keeper), Some(newest(version, "text")));
+        assert_eq!(read(&mut world, keeper), Some(newest_reply(version, "text")));
     }
 }
 
@@ -156,7 +156,7 @@
     world.run(2_000);
     world.start(KEEPERS[2]);
     world.run(3_000);
-    assert_eq!(read(&mut world, KEEPERS[2]), Some(newest(200, "text")));
+    assert_eq!(read(&mut world, KEEPERS[2]), Some(newest_reply(200, "text")));
 }
 
 fn route(host: &str, prefix: &str, service: &str, timeout: u64) -> Route {
--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -25,8 +25,8 @@
 }
 
 /// Returns the highest number of starts of any task of a job.
-fn starts(world: &World, id: &Name) -> u32 {
-    let of_job = world.begun.iter().filter(|(task, _)| task.job == *id);
+fn max_starts(world: &World, id: &Name) -> u32 {
+    let of_job = world.start_counts.iter().filter(|(task, _)| task.job == *id);
     of_job.map(|(_, count)| *count).max().unwrap_or(0)
 }
 
@@ -46,7 +46,7 @@
         let id = submit_crashing(&mut world, 0, 1);
         world.run(20_000);
         assert_eq!(verdict(&world, &id), Some(Verdict::Failed), "seed {seed}");
-        assert!(starts(&world, &id) <= 3, "seed {seed}: {} starts", starts(&world, &id));
+        assert!(max_starts(&world, &id) <= 3, "seed {seed}: {} starts", max_starts(&world, &id));
     }
 }
 
@@ -61,7 +61,7 @@
         world.kill(0);
         world.run(20_000);
         assert_eq!(verdict(&world, &id), Some(Verdict::Failed), "seed {seed}");
-        assert!(starts(&world, &id) <= 4, "seed {seed}: {} starts", starts(&world, &id));
+        assert!(max_starts(&world, &id) <= 4, "seed {seed}: {} starts", max_starts(&world, &id));
         assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -76,11 +76,11 @@
         let id = submit_crashing(&mut world, 0, 1);
         world.run(12_000);
         assert_eq!(verdict(&world, &id), Some(Verdict::Failed), "zone {zone}");
-        let before = starts(&world, &id);
+        let before = max_starts(&world, &id);
         world.resubmit(&id, zone);
         world.run(10_000);
         assert_eq!(verdict(&world, &id), Some(Verdict::Failed), "zone {zone}");
-        assert_eq!(starts(&world, &id), before, "zone {zone}: started again");
+        assert_eq!(max_starts(&world, &id), before, "zone {zone}: started again");
     }
 }
 
@@ -104,7 +104,7 @@
         let failed = world.requests.keys().filter(innocent);
         let failed = failed.filter(|id| verdict(&world, id) != Some(Verdict::Complete)).count();
         assert_eq!(failed, 0, "seed {seed}");
-        let most = world.crashing.iter().map(|id| starts(&world, id)).max();
+        let most = world.crashing.iter().map(|id| max_starts(&world, id)).max();
         assert!(most <= Some(3), "seed {seed}: {most:?} starts");
     }
 }
--- a/crates/dispatch/tests/cut_upstreams.rs
+++ b/crates/dispatch/tests/cut_upstreams.rs
@@ -12,7 +12,7 @@
     world.run(3_000);
     let partition = |world: &mut World, cut| {
         for upstream in (0..24).step_by(4) {
-            (0..3).for_each(|at| world.wall(upstream, at, cut));
+            (0..3).for_each(|at| world.block_calls(upstream, at, cut));
         }
     };
     partition(&mut world, true);
@@ -36,8 +36,8 @@
 /// Guards against upstreams that recover together becoming usable only one after the other.
 ///
 /// After a partition of a fifth of all upstreams during a burst, their capacity came back over
-/// 0.5 s, because the scheduler queried each silent upstream again only after that upstream's own
-/// pause.
+/// 0.5 s, because the scheduler paused separately for each silent upstream before it queried that
+/// upstream again.
 #[test]
 fn back_together() {
     let times: Vec<_> = (0..10).map(recovery_ms).collect();
--- a/crates/dispatch/tests/doubled.rs
+++ b/crates/dispatch/tests/doubled.rs
@@ -1,4 +1,4 @@
-//! Messages between instances are delayed by seconds while calls to upstreams work. No task runs
+//! Messages between instances are delayed by seconds while calls to upstreams are not. No task runs
 //! twice at the same time.
 
 mod world;
@@ -20,15 +20,15 @@
     let mut upstream = Upstream::new(&format!("i-0-{at}-0"), "zone-0", 32_000, 77);
     upstream.address = format!("10.0.9.{at}:80");
     world.upstreams.push(upstream);
-    world.ear = Some(keeper);
+    world.announce_target = Some(keeper);
     world.announce(at, Phase::Serving);
 }
 
 #[test]
 fn unknown_upstream() {
-    // Guards against a scheduler that treats the upstreams it knows as all upstreams of the zone.
-    // One task ran on two upstreams of a zone at the same time. Both keepers of the zone had
-    // started it as the first attempt.
+    // Guards against a scheduler that assumes that it knows all upstreams of its zone. One task ran
+    // on two upstreams of a zone at the same time. Both keepers of the zone had started it as the
+    // first attempt.
     //
     // Sequence: the first keeper's link filled up, and all of its messages were delayed by seconds.
     // An upstream had just announced itself to that keeper, and the announcement waited in the same
@@ -43,9 +43,9 @@
     for seed in 0..10 {
         let mut world = started_world(seed);
         for other in 1..4 {
-            world.slow(0, other, 2_500);
+            world.delay_stream(0, other, 2_500);
         }
-        world.slow(1, 0, 2_500);
+        world.delay_stream(1, 0, 2_500);
         add_upstream(&mut world, 0);
         // These tasks occupy the upstreams that both keepers know, so that the next tasks go to the
         // new upstream.
@@ -73,7 +73,7 @@
     //
     // The scheduler decided from the entry's last heartbeat that it had read whether the entry was
     // still waiting, without regard to the age of that heartbeat. All messages of the entry have
-    // the same delay, so none of them reveals it.
+    // the same delay, so none of them reveals the delay.
     //
     // The start in the other zone came as long after the hand-over as messages waited (1,500 ms and
     // more), with an age of 0 ms.
@@ -81,9 +81,9 @@
     for delay in (500..4_000).step_by(250) {
         let mut world = World::with_keepers(delay, 2, 1, 2, 4);
         world.run(3_000);
-        let (entries, far) = ([4, 5], 0);
+        let (entries, scheduler) = ([4, 5], 0);
         for other in 1..world.instances.len() {
-            world.fill_up(other, far, delay);
+            world.grow_delay(other, scheduler, delay);
         }
         world.run(delay * 3 + 500);
         world.submit(1, 10, 14_000, 1_000);
@@ -91,7 +91,7 @@
         world.submit(1, 2, 14_000, 1_000);
         world.run(100);
         for entry in entries {
-            world.cut(far, entry, true);
+            world.set_cut(scheduler, entry, true);
         }
         world.run(6_000);
         faults.extend(world.faults.first().map(|fault| format!("{delay} ms: {fault}")));
@@ -102,8 +102,8 @@
 #[test]
 fn late_hand_over() {
     // Guards against counting the time in which a former scheduler's runs may continue (1,550 ms)
-    // from the claim, as if entries left the former scheduler at that moment. One task ran on two
-    // upstreams of a zone at the same time.
+    // from the claim, as if entries stopped using the former scheduler at that moment. One task ran
+    // on two upstreams of a zone at the same time.
     //
     // Sequence: a zone's second keeper was cut off and claimed the zone. The entries did not
     // receive the claim and stayed with the first keeper. The partition healed 2,800 ms later, and
@@ -117,11 +117,11 @@
         let mut world = started_world(seed);
         let upstreams = 0..world.upstreams.len();
         for other in [0, 2, 3] {
-            world.cut(1, other, true);
-            world.cut(other, 1, true);
+            world.set_cut(1, other, true);
+            world.set_cut(other, 1, true);
         }
         for upstream in upstreams.clone() {
-            world.wall(upstream, 1, true);
+            world.block_calls(upstream, 1, true);
         }
         world.run(4_000);
         assert_eq!(world.schedulers(0), [0, 1]);
@@ -129,11 +129,11 @@
         world.submit(0, 9, 14_000, 900);
         world.run(150);
         for other in [0, 2, 3] {
-            world.cut(1, other, false);
-            world.cut(other, 1, false);
+            world.set_cut(1, other, false);
+            world.set_cut(other, 1, false);
         }
         for upstream in upstreams.skip(1) {
-            world.wall(upstream, 1, false);
+            world.block_calls(upstream, 1, false);
         }
         world.run(4_000);
         faults.extend(world.faults.first().map(|fault| format!("seed {seed}: {fault}")));
@@ -174,15 +174,15 @@
     for seed in 0..10 {
         let mut world = World::new(seed, 1, 4, 4);
         world.run(3_000);
-        world.wall(0, 0, true);
-        while !world.notes.contains_key("upstream: No answer.") {
+        world.block_calls(0, 0, true);
+        while !world.log_counts.contains_key("upstream: No answer.") {
             world.run(5);
         }
         world.run(11_900);
         for other in 1..5 {
-            world.slow(0, other, 2_500);
+            world.delay_stream(0, other, 2_500);
         }
-        while !world.notes.contains_key("upstream: Given up, it does not answer.") {
+        while !world.log_counts.contains_key("upstream: Given up, it does not answer.") {
             world.run(5);
         }
         world.run(5);
@@ -210,14 +210,14 @@
         let mut world = World::new(seed, 2, 2, 4);
         world.run(3_000);
         for upstream in &mut world.upstreams {
-            upstream.sullen = true;
+            upstream.refuses_stops = true;
         }
         // Zone 1 is full, so its entries hand the next job to zone 0.
         world.submit(1, 10, 14_000, 1_500);
         world.run(200);
         world.submit(1, 2, 14_000, 3_600);
         world.run(200);
-        world.cut_zone(0, true);
+        world.set_zone_cut(0, true);
         world.run(4_500);
         faults.extend(world.faults.first().map(|fault| format!("seed {seed}: {fault}")));
     }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! Evacuated zones: no task starts there until the evacuation is revoked, whichever keeper received
-//! the order and whatever is lost in the meantime.
+//! Evacuated zones: no task starts there until the evacuation is reverted, whichever keeper
+//! received the order and whatever is lost in the meantime.
 
 mod world;
 
@@ -15,7 +15,7 @@
 
 /// Indices of the three zones' keepers among the simulated instances.
 const KEEPERS: [usize; 3] = [0, 3, 6];
-/// Time after which an order is in force in all zones, in milliseconds: three heartbeats.
+/// The time after which an order is in force in all zones, milliseconds: three heartbeats.
 const IN_FORCE: u64 = 450;
 
 fn started_world(seed: u64) -> World {
@@ -33,7 +33,9 @@
     }
 }
 
-fn order(world: &mut World, keeper: usize, zone: usize, evacuated: bool) -> Option<Reply> {
+/// Evacuates a zone, or reverts its evacuation, at a keeper. Returns the reply after 300 ms, if
+/// any.
+fn send_order(world: &mut World, keeper: usize, zone: usize, evacuated: bool) -> Option<Reply> {
     let ticket = world.evacuate(keeper, zone, evacuated);
     world.run(300);
     world.reply(ticket).cloned()
@@ -58,17 +60,17 @@
     let mut world = started_world(1);
     submit_load(&mut world, 600, 40);
     for (keeper, zone) in [(0, 1), (3, 1), (6, 2)] {
-        assert_eq!(order(&mut world, keeper, zone, true), Some(Reply::Noted));
+        assert_eq!(send_order(&mut world, keeper, zone, true), Some(Reply::Noted));
         submit_load(&mut world, 1_500, 60);
         assert!(!recently_started(&world, 1_500 - IN_FORCE).contains(&zone), "by {keeper}");
-        assert_eq!(order(&mut world, keeper, zone, false), Some(Reply::Noted));
+        assert_eq!(send_order(&mut world, keeper, zone, false), Some(Reply::Noted));
         submit_load(&mut world, 1_500, 40);
-        assert_eq!(recently_started(&world, 600), [0, 1, 2], "revoked by {keeper}");
+        assert_eq!(recently_started(&world, 600), [0, 1, 2], "reverted by {keeper}");
     }
     world.run(4_000);
     assert_eq!(world.faults, Vec::<String>::new());
-    let (good, all) = world.in_time();
-    assert_eq!(world.complete(), all);
+    let (good, all) = world.count_in_time();
+    assert_eq!(world.count_complete(), all);
     assert!(good * 100 >= all * 97, "{good} of {all} in time");
 }
 
@@ -78,10 +80,10 @@
     let mut world = started_world(2);
     let jobs: Vec<_> = (0..6).map(|_| world.submit(1, 2, 14_000, 900)).collect();
     world.run(100);
-    assert_eq!(order(&mut world, 0, 1, true), Some(Reply::Noted));
+    assert_eq!(send_order(&mut world, 0, 1, true), Some(Reply::Noted));
     world.run(1_500);
-    assert_eq!(world.complete(), jobs.len());
-    assert!(world.begun.values().all(|count| *count == 1), "{:?}", world.begun);
+    assert_eq!(world.count_complete(), jobs.len());
+    assert!(world.start_counts.values().all(|count| *count == 1), "{:?}", world.start_counts);
 }
 
 #[test]
@@ -95,9 +97,9 @@
             }
         }
         world.run(50);
-        assert_eq!(order(&mut world, 6, 0, true), Some(Reply::Noted));
+        assert_eq!(send_order(&mut world, 6, 0, true), Some(Reply::Noted));
         world.run(3_000);
-        assert_eq!(world.complete(), 9, "seed {seed}");
+        assert_eq!(world.count_complete(), 9, "seed {seed}");
         assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -124,7 +126,7 @@
 fn all_evacuated() {
     let mut world = started_world(3);
     for zone in 0..3 {
-        assert_eq!(order(&mut world, 0, zone, true), Some(Reply::Noted));
+        assert_eq!(send_order(&mut world, 0, zone, true), Some(Reply::Noted));
     }
     world.run(IN_FORCE);
     let job = world.submit(0, 2, 14_000, 60);
@@ -138,14 +140,14 @@
     // An evacuated zone is cut off for longer than it takes to replace a scheduler. Its clients are
     // refused immediately, without waiting.
     let mut world = started_world(11);
-    assert_eq!(order(&mut world, 0, 1, true), Some(Reply::Noted));
-    world.cut_zone(1, true);
+    assert_eq!(send_order(&mut world, 0, 1, true), Some(Reply::Noted));
+    world.set_zone_cut(1, true);
     world.run(3_000);
     let job = world.submit(1, 2, 14_000, 60);
     world.run(50);
     let verdict = world.requests[&job].verdict.as_ref().map(|(verdict, _)| verdict);
     assert_eq!(verdict, Some(&Verdict::NotRun(Refusal::NoScheduler)));
-    world.cut_zone(1, false);
+    world.set_zone_cut(1, false);
     world.run(1_000);
     let job = world.submit(1, 2, 14_000, 60);
     world.run(300);
@@ -155,17 +157,17 @@
 
 #[test]
 fn steps_stay_together() {
-    // A job of two steps moves to another zone as a whole. If it has already begun, the scheduler
-    // gives it up.
+    // A job of two steps moves to another zone as a whole. If a task of it has already started, the
+    // scheduler gives the job up.
     let mut world = started_world(8);
-    let begun = world.submit_steps(1, 14_000, 300);
+    let started = world.submit_steps(1, 14_000, 300);
     world.run(100);
-    assert_eq!(order(&mut world, 0, 1, true), Some(Reply::Noted));
+    assert_eq!(send_order(&mut world, 0, 1, true), Some(Reply::Noted));
     world.run(IN_FORCE);
     let fresh = world.submit_steps(1, 14_000, 300);
     world.run(1_500);
     let verdict = |id| world.requests[id].verdict.as_ref().map(|(verdict, _)| verdict.clone());
-    assert_eq!(verdict(&begun), Some(Verdict::GaveUp));
+    assert_eq!(verdict(&started), Some(Verdict::GaveUp));
     assert_eq!(verdict(&fresh), Some(Verdict::Complete));
 }
 
@@ -202,7 +204,7 @@
 
 #[test]
 fn late_copy() {
-    // A copy of an evacuation order that arrives after the evacuation was revoked has no effect.
+    // A copy of an evacuation order that arrives after the evacuation was reverted has no effect.
     let mut evacuations = Evacuations::default();
     let order = |evacuated, base| Order { zone: zone_name(1), evacuated, base };
     assert_eq!(evacuations.apply(&order(true, 0)), Outcome::InForce);
@@ -215,20 +217,20 @@
 
 #[test]
 fn lagging_keeper() {
-    // A keeper that was cut off while the zone was evacuated can revoke the evacuation after the
+    // A keeper that was cut off while the zone was evacuated can revert the evacuation after the
     // partition heals.
     let mut world = started_world(5);
-    world.cut_zone(2, true);
+    world.set_zone_cut(2, true);
     world.run(1_500);
-    assert_eq!(order(&mut world, 0, 1, true), Some(Reply::Noted));
-    world.cut_zone(2, false);
+    assert_eq!(send_order(&mut world, 0, 1, true), Some(Reply::Noted));
+    world.set_zone_cut(2, false);
     let ticket = world.evacuate(6, 1, false);
     world.run(900);
     match world.reply(ticket) {
         Some(Reply::Noted) => {}
-        // The keeper did not learn of a leader in time and reports that it is unavailable.
+        // The keeper did not learn of a leader in time, so it replies `Unavailable`.
         Some(Reply::Unavailable) => {
-            assert_eq!(order(&mut world, 6, 1, false), Some(Reply::Noted));
+            assert_eq!(send_order(&mut world, 6, 1, false), Some(Reply::Noted));
         }
         other => panic!("{other:?}"),
     }
@@ -241,7 +243,7 @@
 #[test]
 fn minority_cannot_order() {
     let mut world = started_world(6);
-    world.cut_zone(0, true);
+    world.set_zone_cut(0, true);
     world.run(2_000);
     let ticket = world.evacuate(0, 1, true);
     world.run(1_000);
@@ -251,8 +253,8 @@
 #[test]
 fn unknown_zone() {
     let mut world = started_world(7);
-    assert_eq!(order(&mut world, 0, 9, true), Some(Reply::NoZone));
-    assert_eq!(order(&mut world, 0, 9, false), Some(Reply::NoZone));
+    assert_eq!(send_order(&mut world, 0, 9, true), Some(Reply::NoZone));
+    assert_eq!(send_order(&mut world, 0, 9, false), Some(Reply::NoZone));
 }
 
 #[test]
@@ -289,7 +291,7 @@
         for seed in 0..5 {
             let mut world = started_world(seed);
             evacuate_acknowledged(&mut world, seed);
-            world.wipe(wiped);
+            world.lose_disk(wiped);
             (0..world.instances.len()).for_each(|at| world.kill(at));
             world.run(500);
             (0..world.instances.len()).for_each(|at| world.start(at));
@@ -303,17 +305,18 @@
 
 #[test]
 fn cut_off_zone() {
-    // The zone is cut off while it is evacuated, and learns of it after the partition heals.
+    // The zone is cut off while it is evacuated, and learns of the evacuation after the partition
+    // heals.
     let mut world = started_world(9);
-    world.cut_zone(1, true);
+    world.set_zone_cut(1, true);
     world.run(1_500);
-    assert_eq!(order(&mut world, 0, 1, true), Some(Reply::Noted));
+    assert_eq!(send_order(&mut world, 0, 1, true), Some(Reply::Noted));
     submit_load(&mut world, 1_000, 60);
     assert!(
         recently_started(&world, 500).contains(&1),
-        "it continues in the last state that it knows"
+        "the zone continues with the last evacuations that it knows"
     );
-    world.cut_zone(1, false);
+    world.set_zone_cut(1, false);
     world.run(IN_FORCE);
     submit_load(&mut world, 2_000, 60);
     assert!(!recently_started(&world, 2_000 - IN_FORCE).contains(&1));
--- a/crates/dispatch/tests/late.rs
+++ b/crates/dispatch/tests/late.rs
@@ -11,15 +11,16 @@
     let mut results = Vec::new();
     for delay in [0, 100, 150, 200, 250, 280, 300, 350] {
         let mut world = World::new(3, 1, 2, 4);
-        world.busy = delay * 1_000;
+        world.message_delay = delay * 1_000;
         world.run(6_000);
         for _ in 0..40 {
             world.submit(0, 1, 14_000, 100);
             world.run(100);
         }
         world.run(6_000);
-        let dropped = world.notes.get("job: Dropped, no recent query from its entry.").copied();
-        results.push((delay, world.complete(), dropped.unwrap_or(0)));
+        let dropped =
+            world.log_counts.get("job: Dropped, no recent query from its entry.").copied();
+        results.push((delay, world.count_complete(), dropped.unwrap_or(0)));
     }
     assert!(results.iter().all(|(_, complete, _)| *complete > 20), "{results:?}");
 }
@@ -32,14 +33,14 @@
     for delay in [250, 300, 350] {
         let mut world = World::with_keepers(3, 1, 2, 2, 4);
         world.run(6_000);
-        world.busy = delay * 1_000;
+        world.message_delay = delay * 1_000;
         for _ in 0..4 {
-            let before = world.complete();
+            let before = world.count_complete();
             for _ in 0..60 {
                 world.submit(0, 1, 14_000, 100);
                 world.run(100);
             }
-            results.push((delay, world.now / 1_000_000 - 6, world.complete() - before));
+            results.push((delay, world.now / 1_000_000 - 6, world.count_complete() - before));
         }
     }
     assert!(results.iter().all(|(.., complete)| *complete > 30), "{results:?}");
--- a/crates/dispatch/tests/load.rs
+++ b/crates/dispatch/tests/load.rs
@@ -1,4 +1,4 @@
-//! Results that clients get under load, in a simulation of arrivals on the core without I/O.
+//! The answers that clients get under load, in a simulation without I/O.
 
 mod world;
 
@@ -22,19 +22,20 @@
         world.run(8);
     }
     world.run(4_000);
-    let (good, all) = world.in_time();
+    let (good, all) = world.count_in_time();
     assert_eq!(world.faults, Vec::<String>::new());
     assert!(good >= 485, "{good} of {all} in time");
 }
 
-/// A kind of job: its priority, number of tasks, length and arrival rate.
+/// A kind of job: its priority, mean number of tasks, mean length in milliseconds, and arrival
+/// rate.
 #[derive(Clone, Copy, Debug)]
 struct Kind {
     priority: u32,
     count: f64,
     length: f64,
     per_second: f64,
-    /// Mean value of an answer in time.
+    /// The mean value of an answer in time.
     value: f64,
 }
 
@@ -56,9 +57,9 @@
 /// The zones that the load comes from.
 #[derive(Clone, Copy, Debug)]
 struct Topology {
-    /// Number of upstreams in each zone.
+    /// The number of upstreams in each zone.
     upstreams: usize,
-    /// Relative arrival rates of the zones.
+    /// The relative arrival rates of the zones.
     zones: &'static [f64],
 }
 
@@ -111,12 +112,12 @@
     for (id, (at, value, objective)) in submitted {
         let request = &world.requests[&id];
         let took = match request.verdict {
-            Some((Verdict::Complete, at)) => (at - request.first) as f64 / 1_000.0,
+            Some((Verdict::Complete, at)) => (at - request.first_sent) as f64 / 1_000.0,
             _ => f64::INFINITY,
         };
         let share = match took / objective {
-            late if late <= 1.0 => 1.0,
-            late if late <= 3.0 => 0.2,
+            ratio if ratio <= 1.0 => 1.0,
+            ratio if ratio <= 3.0 => 0.2,
             _ => 0.0,
         };
         sums[at].0 += value * share;
@@ -196,15 +197,15 @@
     // after 50 ms, 391 of 400 answers are in time; after 250 ms, 256 are.
     let mut world = World::new(3, 1, 2, 16);
     world.run(3_000);
-    world.late = 10;
+    world.late_orders = 10;
     for at in 0..400_u64 {
         let (count, length) = [(8, 60), (2, 200), (2, 200)][at as usize % 3];
         world.submit(0, count, 14_000, length);
         world.run(16);
     }
-    world.late = 0;
+    world.late_orders = 0;
     world.run(6_000);
-    let (good, all) = world.in_time();
+    let (good, all) = world.count_in_time();
     assert_eq!(world.faults, Vec::<String>::new());
     assert!(good * 100 >= all * 94, "{good} of {all} in time");
 }
@@ -225,8 +226,8 @@
 
 /// Guards against late ends at upstreams that were idle just before, under the same loss of calls.
 ///
-/// The scheduler learned of an end up to 500 ms late, because the lost query had been sent, with
-/// a wait of 450 ms, while no task ran there. Most jobs that were late by more than twice their
+/// The scheduler learned of an end up to 500 ms late, because the lost query had been sent while no
+/// task ran there, with a wait of 450 ms. Most jobs that were late by more than twice their
 /// objective had one such task. By the time that the scheduler learned of their ends, these tasks
 /// had taken 320 to 600 ms at their upstreams instead of 80 ms.
 #[test]
@@ -241,15 +242,15 @@
 fn in_time_with_losses(interval: u64) -> (usize, usize) {
     let mut world = World::new(4, 1, 2, 16);
     world.run(3_000);
-    (world.late, world.mute) = (18, 18);
+    (world.late_orders, world.hold_loss) = (18, 18);
     for _ in 0..400 {
         world.submit(0, 8, 14_000, 60);
         world.run(interval);
     }
-    (world.late, world.mute) = (0, 0);
+    (world.late_orders, world.hold_loss) = (0, 0);
     world.run(6_000);
     assert_eq!(world.faults, Vec::<String>::new());
-    world.in_time()
+    world.count_in_time()
 }
 
 /// A scheduler reports once which tasks it gives back, and again if the entry has not received the
@@ -265,12 +266,12 @@
         let keeper = world.schedulers(0)[0];
         let entry = 1 - keeper;
         world.submit(0, 4, 14_000, 900);
-        world.cut(keeper, entry, lost);
+        world.set_cut(keeper, entry, lost);
         world.run(5);
-        world.cut(keeper, entry, false);
+        world.set_cut(keeper, entry, false);
         world.run(3_000);
-        assert_eq!(world.complete(), 1, "lost {lost}");
-        let reports = world.notes.get("job: Gave tasks back.").copied();
+        assert_eq!(world.count_complete(), 1, "lost {lost}");
+        let reports = world.log_counts.get("job: Gave tasks back.").copied();
         assert_eq!(reports, Some(1 + u64::from(lost)), "lost {lost}");
     }
 }
@@ -311,9 +312,9 @@
         world.submit(at % 3, 2, 14_000, 60);
         world.run(10);
     }
-    world.thaw(0);
+    world.unfreeze(0);
     world.run(6_000);
-    let (good, all) = world.in_time();
+    let (good, all) = world.count_in_time();
     assert_eq!(world.faults, Vec::<String>::new());
     assert_eq!(all, 120);
     good
--- a/crates/dispatch/tests/many.rs
+++ b/crates/dispatch/tests/many.rs
@@ -14,7 +14,7 @@
 const KEEPERS: usize = 2;
 /// The number of upstreams for each instance, as in the users' parameter sweep.
 const UPSTREAMS: usize = 10;
-/// Microseconds in a second.
+/// One second, microseconds.
 const SECOND: f64 = 1e6;
 
 /// Builds a system of `all` instances, keepers first in each zone, with `upstreams` upstreams for
@@ -101,8 +101,8 @@
     let most = world.redials.values().max().copied().unwrap_or(0);
     let sum: u64 = world.redials.values().sum();
     let time = ms as f64 / 1e3;
-    let noted = |text: &str| world.notes.get(text).copied().unwrap_or(0);
-    println!("| {label} | {all} | schedulers made so far: {} |", noted("zone: Scheduling."));
+    let log_count = |text: &str| world.log_counts.get(text).copied().unwrap_or(0);
+    println!("| {label} | {all} | schedulers started so far: {} |", log_count("zone: Scheduling."));
     println!(
         "| {label} | {all} | redials/s: all {:.0}, most of one {:.1} |",
         sum as f64 / time,
@@ -146,11 +146,11 @@
 
 #[test]
 fn late_heartbeats() {
-    // An instance whose heartbeats are late is not lost: redialling would only lose the messages in
-    // transit.
+    // An instance whose heartbeats are late does not count as lost. A redial of its streams would
+    // only lose the messages in transit.
     let mut world = build_system(1, 300, 2);
     world.run(6_000);
-    world.notes.clear();
+    world.log_counts.clear();
     world.redials.clear();
     world.jitter = (400_000, 1_000_000);
     world.run(5_000);
@@ -158,7 +158,7 @@
     let all: u64 = world.redials.values().sum();
     assert!(most <= 10, "{most} redials of one instance in 5 s");
     assert!(all <= 300, "{all} redials of 300 instances in 5 s");
-    assert_eq!(world.notes.get("zone: Scheduling."), None, "no instance was lost");
+    assert_eq!(world.log_counts.get("zone: Scheduling."), None, "no instance was lost");
 }
 
 #[test]
@@ -181,7 +181,7 @@
     }
     let ids: Vec<_> = (0..30).map(|at| world.submit(at % ZONES, 2, 14_000, 200)).collect();
     world.run(2_000);
-    assert_eq!(world.complete(), ids.len());
+    assert_eq!(world.count_complete(), ids.len());
 }
 
 #[test]
@@ -206,7 +206,7 @@
         assert_eq!(world.schedulers(0).len(), 1, "seed {seed}");
         let ids: Vec<_> = (0..30).map(|_| world.submit(0, 2, 14_000, 200)).collect();
         world.run(3_000);
-        assert!(world.complete() >= ids.len() - 1, "seed {seed}: {}", world.complete());
+        assert!(world.count_complete() >= ids.len() - 1, "seed {seed}: {}", world.count_complete());
         world.start(0);
         world.run(3_000);
         assert_eq!(world.schedulers(0), [0], "seed {seed}");
@@ -216,7 +216,8 @@
 
 #[test]
 fn scheduler_of_many_lost() {
-    // The other keeper schedules the zone after 500 ms and a tick, and all entries know that.
+    // The other keeper schedules the zone after 500 ms and a tick, and all entries know the new
+    // scheduler.
     for seed in 0..3 {
         let mut world = build_system(seed, 99, 2);
         world.run(4_000);
@@ -225,7 +226,7 @@
         assert_eq!(world.schedulers(0), [1], "seed {seed}");
         let ids: Vec<_> = (0..60).map(|_| world.submit(0, 1, 14_000, 100)).collect();
         world.run(400);
-        let started = |id: &&_| world.starts.keys().any(|task| task.job == **id);
+        let started = |id: &&_| world.start_times.keys().any(|task| task.job == **id);
         assert_eq!(ids.iter().filter(started).count(), 60, "seed {seed}");
     }
 }
@@ -235,19 +236,19 @@
     for seed in 0..2 {
         let mut world = build_system(seed, 60, 2);
         world.run(4_000);
-        world.cut_zone(1, true);
+        world.set_zone_cut(1, true);
         world.run(1_500);
-        world.notes.clear();
+        world.log_counts.clear();
         for _ in 0..40 {
             for zone in 0..ZONES {
                 world.submit(zone, 1, 14_000, 100);
             }
             world.run(50);
         }
-        world.cut_zone(1, false);
+        world.set_zone_cut(1, false);
         world.run(3_000);
-        assert_eq!(world.complete(), 120, "seed {seed}: {:?}", world.notes);
-        assert_eq!(world.notes.get("zone: Scheduling."), None, "seed {seed}");
+        assert_eq!(world.count_complete(), 120, "seed {seed}: {:?}", world.log_counts);
+        assert_eq!(world.log_counts.get("zone: Scheduling."), None, "seed {seed}");
         assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -258,14 +259,14 @@
     let mut world = build_system(2, 60, 2);
     world.run(4_000);
     for (at, name) in [(0, "10.0.5.1:7"), (1, "10.0.5.2:7")] {
-        world.move_keeper(at, name);
+        world.replace_keeper(at, name);
         world.run(3_000);
     }
     assert_eq!(world.schedulers(0).len(), 1);
     assert!(world.schedulers(0)[0] < KEEPERS, "a keeper schedules");
     let ids: Vec<_> = (0..40).map(|_| world.submit(0, 1, 14_000, 100)).collect();
     world.run(2_000);
-    assert_eq!(world.complete(), ids.len());
+    assert_eq!(world.count_complete(), ids.len());
     assert_eq!(world.faults, Vec::<String>::new());
 }
 
@@ -276,12 +277,12 @@
     for (from, to) in [(10, 0), (0, 10)] {
         let mut world = build_system(1, 99, 2);
         world.run(4_000);
-        world.cut(from, to, true);
+        world.set_cut(from, to, true);
         world.run(1_000);
-        world.notes.clear();
+        world.log_counts.clear();
         let ids: Vec<_> = (0..200).map(|_| world.submit(0, 1, 14_000, 100)).collect();
         world.run(4_000);
-        assert_eq!(world.complete(), ids.len(), "{from} to {to}: {:?}", world.notes);
+        assert_eq!(world.count_complete(), ids.len(), "{from} to {to}: {:?}", world.log_counts);
         assert_eq!(world.faults, Vec::<String>::new());
     }
 }
@@ -291,8 +292,9 @@
     // In normal operation an instance does not forget the peers that send it no heartbeats.
     let mut world = build_system(1, 60, 2);
     world.run(45_000);
-    assert_eq!(world.notes.get("peer: Forgotten."), None);
-    // All instances forget one that has stopped for good, and then send no lists because of it.
+    assert_eq!(world.log_counts.get("peer: Forgotten."), None);
+    // All instances forget one that has stopped for good, and then send no lists because of its
+    // loss.
     world.kill(30);
     world.run(33_000);
     let known = |i: &world::Instance| i.core.as_ref().map(|core| core.status(Now::new(1, 1)).known);
@@ -313,8 +315,8 @@
         let at = all - 1;
         world.freeze(at);
         world.run(36_000);
-        assert!(world.notes.contains_key("peer: Forgotten."), "of {all}");
-        world.thaw(at);
+        assert!(world.log_counts.contains_key("peer: Forgotten."), "of {all}");
+        world.unfreeze(at);
         world.run(5_000);
         let known =
             |i: &world::Instance| i.core.as_ref().map(|core| core.status(Now::new(1, 1)).known);
@@ -334,7 +336,7 @@
     let mut world = build_system(1, 9, 60);
     world.run(3_000);
     for at in 0..world.upstreams.len() {
-        world.wall(at, 0, true);
+        world.block_calls(at, 0, true);
     }
     world.run(1_000);
     world.calls.clear();
@@ -342,12 +344,12 @@
     let calls = world.calls[&0] / 2;
     assert!(calls <= 400, "{calls} calls per second to 180 silent upstreams");
     for at in 0..world.upstreams.len() {
-        world.wall(at, 0, false);
+        world.block_calls(at, 0, false);
     }
     world.run(1_000);
     let ids: Vec<_> = (0..100).map(|_| world.submit(0, 1, 14_000, 100)).collect();
     world.run(500);
-    assert_eq!(world.complete(), ids.len());
+    assert_eq!(world.count_complete(), ids.len());
 }
 
 #[test]
@@ -365,7 +367,7 @@
     let calls = world.calls[&0] / 2;
     assert!(calls <= 900 * 5 / 2, "{calls} calls per second to 900 busy upstreams");
     world.run(4_000);
-    assert_eq!(world.complete(), 60);
+    assert_eq!(world.count_complete(), 60);
     assert_eq!(world.faults, Vec::<String>::new());
 }
 
--- a/crates/dispatch/tests/membership.rs
+++ b/crates/dispatch/tests/membership.rs
@@ -7,7 +7,7 @@
 };
 use state::name::Name;
 
-/// Longer than an instance remembers a silent peer that it expects heartbeats from, in
+/// A time longer than an instance remembers a silent peer that it expects heartbeats from,
 /// milliseconds.
 const EXPIRED: u64 = 31_000;
 
--- a/crates/dispatch/tests/news.rs
+++ b/crates/dispatch/tests/news.rs
@@ -25,46 +25,53 @@
 /// Indices of the three zones' keepers among the simulated instances.
 const KEEPERS: [usize; 3] = [0, 13, 26];
 const INSTANCES: usize = 39;
-/// Size in bytes of a configuration with 4,200 routes. Two such configurations have no content in
+/// The size of a configuration with 4,200 routes. Two such configurations have no content in
 /// common.
-const LARGE: usize = 790_000;
-/// Rate of an entry's link in bytes per millisecond: 25 Mbit/s.
-const LINK: u64 = 3_125;
+const LARGE_BYTES: usize = 790_000;
+/// The bandwidth of an entry's link, bytes per millisecond: 25 Mbit/s.
+const LINK_RATE: u64 = 3_125;
 
 /// Starts three zones, each with a keeper and twelve entries with slow links.
 fn started_world(seed: u64) -> World {
     let mut world = World::new(seed, 3, 12, 8);
     for at in (0..INSTANCES).filter(|at| !KEEPERS.contains(at)) {
-        world.links.rates.insert(at, LINK);
+        world.links.rates.insert(at, LINK_RATE);
     }
     world.run(3_000);
     world
 }
 
+/// Returns the instances whose configuration does not have the version `version`.
 fn outdated(world: &World, version: u64) -> Vec<usize> {
-    let held = |at: &usize| world.instances[*at].core.as_ref().map(|c| c.document().version);
-    (0..INSTANCES).filter(|at| held(at) != Some(version)).collect()
+    let held_version =
+        |at: &usize| world.instances[*at].core.as_ref().map(|c| c.document().version);
+    (0..INSTANCES).filter(|at| held_version(at) != Some(version)).collect()
 }
 
 #[test]
 fn large_in_force() {
     for seed in 0..5 {
         let mut world = started_world(seed);
-        world.links.received.clear();
-        world.notes.clear();
-        let ticket = world.publish(KEEPERS[0], 1, &world::text(LARGE, 1));
+        world.links.sent_bytes.clear();
+        world.log_counts.clear();
+        let ticket = world.publish(KEEPERS[0], 1, &world::random_text(LARGE_BYTES, 1));
         world.run(300);
         assert!(world.reply(ticket).is_some(), "seed {seed}");
-        world.publish(KEEPERS[1], 2, &world::text(LARGE, 2));
+        world.publish(KEEPERS[1], 2, &world::random_text(LARGE_BYTES, 2));
         // A copy occupies a link for 0.25 s. A change has to be in force within 2 s.
         world.run(500);
         assert_eq!(outdated(&world, 2), Vec::<usize>::new(), "seed {seed}");
         // No instance was treated as lost.
         world.run(2_000);
-        assert_eq!(world.notes.get("zone: Claimed."), None, "seed {seed}: {:?}", world.notes);
+        assert_eq!(
+            world.log_counts.get("zone: Claimed."),
+            None,
+            "seed {seed}: {:?}",
+            world.log_counts
+        );
         for at in (0..INSTANCES).filter(|at| !KEEPERS.contains(at)) {
-            let bytes = world.links.bytes(at, &["document", "part"]);
-            let copies = bytes as f64 / LARGE as f64;
+            let bytes = world.links.bytes_to(at, &["document", "part"]);
+            let copies = bytes as f64 / LARGE_BYTES as f64;
             assert!(
                 copies < 2.3,
                 "seed {seed}: entry {at} received {copies:.1} copies for two versions"
@@ -79,16 +86,16 @@
     let mut world = started_world(7);
     for round in 0..60 {
         if round == 10 {
-            world.publish(KEEPERS[0], 1, &world::text(LARGE, 1));
+            world.publish(KEEPERS[0], 1, &world::random_text(LARGE_BYTES, 1));
         }
         world.submit(round % 3, 2, 14_000, 200);
         world.run(25);
     }
     world.run(3_000);
     let late = world.requests.values().filter(|request| {
-        request.verdict.as_ref().is_none_or(|(_, at)| *at > request.first + 500 * MS)
+        request.verdict.as_ref().is_none_or(|(_, at)| *at > request.first_sent + 500 * MS)
     });
-    assert_eq!(late.count(), 0, "{:?}", world.notes);
+    assert_eq!(late.count(), 0, "{:?}", world.log_counts);
 }
 
 #[test]
@@ -105,7 +112,7 @@
         world.instances[1].core.as_ref().map(|core| (core.is_outdated(now), core.is_ready(now)))
     };
     assert_eq!(state(&world), Some((false, true)));
-    world.publish(KEEPERS[0], 2, &world::text(LARGE, 1));
+    world.publish(KEEPERS[0], 2, &world::random_text(LARGE_BYTES, 1));
     world.run(1_000);
     assert_eq!(state(&world), Some((false, true)), "the former version may be used for a while");
     world.run(1_000);
@@ -125,7 +132,7 @@
     }
     world.publish(KEEPERS[0], 1, "text");
     world.run(1_000);
-    world.publish(KEEPERS[0], 2, &world::text(LARGE, 1));
+    world.publish(KEEPERS[0], 2, &world::random_text(LARGE_BYTES, 1));
     world.run(500);
     for keeper in KEEPERS {
         world.kill(keeper);
@@ -173,7 +180,7 @@
 fn source_silent() {
     // When the first source stops answering, the fetch continues from another source at the same
     // offset. If that source is silent too, the fetch returns to the first.
-    let document = Document { version: 3, body: world::text(200_000, 1).into() };
+    let document = Document { version: 3, body: world::random_text(200_000, 1).into() };
     let (fetched, requests) = run_fetch(&document, |source, _| source.as_str() == "one");
     assert_eq!((fetched, requests.len()), (document.clone(), 4));
     let (fetched, requests) =
@@ -187,8 +194,8 @@
 #[test]
 fn newer_meanwhile() {
     // Sources keep only the newest version, so the fetched parts of an older version are dropped.
-    let held = Document { version: 2, body: world::text(100_000, 1).into() };
-    let newer = Document { version: 5, body: world::text(100_000, 2).into() };
+    let held = Document { version: 2, body: world::random_text(100_000, 1).into() };
+    let newer = Document { version: 5, body: world::random_text(100_000, 2).into() };
     let one: Name = "one".into();
     let mut fetch = Fetch::default();
     let (_, request) = fetch.begin(2, &[&one], 0).unwrap();
@@ -202,7 +209,7 @@
         panic!("the document has more than one part")
     };
     assert_eq!(request, PartRequest { version: 5, offset: 65_536 });
-    assert_eq!(fetch::part(&held, request), None, "the source has no version as new");
+    assert_eq!(fetch::part(&held, request), None, "the source holds only an older version");
     // A late part of the older version and a duplicate part have no effect.
     let late = Part {
         offset: 65_536,
@@ -218,7 +225,7 @@
 fn patience_kept() {
     // Guards against early losses of parts making a later loss cost 3,200 ms, although parts
     // arrived in between and the source has gone silent.
-    let document = Document { version: 1, body: world::text(400_000, 1).into() };
+    let document = Document { version: 1, body: world::random_text(400_000, 1).into() };
     let names: Vec<Name> = ["one", "two", "three", "four"].map(Name::new).into();
     let sources: Vec<_> = names.iter().collect();
     let (mut fetch, mut now) = (Fetch::default(), 0);
@@ -250,15 +257,15 @@
 /// Returns the bytes of upstream records that all instances receive in `ms` milliseconds while one
 /// upstream is replaced every 300 ms.
 fn replace_upstreams(world: &mut World, incarnation: &mut u32, ms: u64) -> u64 {
-    world.links.received.clear();
+    world.links.sent_bytes.clear();
     for _ in 0..ms / 300 {
         *incarnation += 1;
         let at = *incarnation as usize % world.upstreams.len();
-        world.upstreams[at].crash(&format!("i-life-{at}-{incarnation}"));
+        world.upstreams[at].restart_as(&format!("i-life-{at}-{incarnation}"));
         world.announce(at, Phase::Serving);
         world.run(300);
     }
-    (0..world.instances.len()).map(|at| world.links.bytes(at, &["records"])).sum()
+    (0..world.instances.len()).map(|at| world.links.bytes_to(at, &["records"])).sum()
 }
 
 #[test]
--- a/crates/dispatch/tests/random_faults.rs
+++ b/crates/dispatch/tests/random_faults.rs
@@ -24,15 +24,15 @@
 /// The number of entries of a zone in the tests of weak entries: enough that not every instance
 /// receives messages from all keepers.
 const WEAK_ENTRIES: usize = 6;
-/// The most starts of a task that crashes its upstreams: no more than two after it has crashed
-/// three.
-const MOST_STARTS: u32 = 5;
+/// The highest number of starts of a task that crashes its upstreams: no more than two after it has
+/// crashed three.
+const MAX_STARTS: u32 = 5;
 
-/// The function that ends a fault.
-type End = Box<dyn FnOnce(&mut World)>;
+/// A function that ends a fault.
+type FaultEnd = Box<dyn FnOnce(&mut World)>;
 
 /// Starts a random fault and returns the function that ends it.
-fn start_fault(world: &mut World) -> End {
+fn start_fault(world: &mut World) -> FaultEnd {
     let all = world.instances.len();
     let size = all / ZONES;
     let at = world.rng.random_range(0..all);
@@ -44,7 +44,7 @@
         }
         2 | 3 => {
             world.freeze(at);
-            Box::new(move |world| world.thaw(at))
+            Box::new(move |world| world.unfreeze(at))
         }
         14 => {
             // The instance restarts with a wrong wall clock.
@@ -56,53 +56,53 @@
             })
         }
         15 => {
-            world.busy = world.rng.random_range(0..200) * 1_000;
-            Box::new(|world| world.busy = 0)
+            world.message_delay = world.rng.random_range(0..200) * 1_000;
+            Box::new(|world| world.message_delay = 0)
         }
         16 => {
             // The keeper is the first instance of its zone.
-            world.ear = Some(at - at % size);
-            Box::new(|world| world.ear = None)
+            world.announce_target = Some(at - at % size);
+            Box::new(|world| world.announce_target = None)
         }
         4 => {
             let zone = at % ZONES;
-            world.cut_zone(zone, true);
-            Box::new(move |world| world.cut_zone(zone, false))
+            world.set_zone_cut(zone, true);
+            Box::new(move |world| world.set_zone_cut(zone, false))
         }
         5 => {
             let other = world.rng.random_range(0..all);
-            world.cut(at, other, true);
-            Box::new(move |world| world.cut(at, other, false))
+            world.set_cut(at, other, true);
+            Box::new(move |world| world.set_cut(at, other, false))
         }
         6 => {
             for other in 0..all {
-                world.cut(at, other, true);
-                world.cut(other, at, true);
+                world.set_cut(at, other, true);
+                world.set_cut(other, at, true);
             }
             Box::new(move |world| {
                 for other in 0..all {
-                    world.cut(at, other, false);
-                    world.cut(other, at, false);
+                    world.set_cut(at, other, false);
+                    world.set_cut(other, at, false);
                 }
             })
         }
         7 | 8 => {
             for instance in 0..all {
-                world.wall(up, instance, true);
+                world.block_calls(up, instance, true);
             }
             Box::new(move |world| {
                 for instance in 0..all {
-                    world.wall(up, instance, false);
+                    world.block_calls(up, instance, false);
                 }
             })
         }
         9 => {
-            world.wall(up, at, true);
-            Box::new(move |world| world.wall(up, at, false))
+            world.block_calls(up, at, true);
+            Box::new(move |world| world.block_calls(up, at, false))
         }
         10 => {
             let suffix: u32 = world.rng.random();
-            world.upstreams[up].crash(&format!("i-{up}-{suffix}"));
+            world.upstreams[up].restart_as(&format!("i-{up}-{suffix}"));
             Box::new(|_| {})
         }
         11 => {
@@ -110,8 +110,8 @@
             Box::new(move |world| world.upstreams[up].hangs = false)
         }
         12 => {
-            world.late = 15;
-            Box::new(|world| world.late = 0)
+            world.late_orders = 15;
+            Box::new(|world| world.late_orders = 0)
         }
         _ => {
             world.announce(up, Phase::Leaving);
@@ -123,13 +123,13 @@
 /// Starts a random fault of an upstream or an entry and returns the function that ends it. No
 /// scheduler is lost, since no other instance knows the tasks that a scheduler started just before
 /// its loss.
-fn fatal_fault(world: &mut World) -> End {
+fn fault_sparing_schedulers(world: &mut World) -> FaultEnd {
     let up = world.rng.random_range(0..world.upstreams.len());
     match world.rng.random_range(0..6) {
         0..3 => {
             let (room, now) = (world.upstreams[up].room.cpu, world.now);
-            let least = world.rng.random_range(0..room);
-            world.upstreams[up].resize(least, now);
+            let reduced = world.rng.random_range(0..room);
+            world.upstreams[up].resize(reduced, now);
             Box::new(move |world| world.upstreams[up].resize(room, world.now))
         }
         3 => {
@@ -140,11 +140,11 @@
         }
         4 => {
             for instance in 0..INSTANCES {
-                world.wall(up, instance, true);
+                world.block_calls(up, instance, true);
             }
             Box::new(move |world| {
                 for instance in 0..INSTANCES {
-                    world.wall(up, instance, false);
+                    world.block_calls(up, instance, false);
                 }
             })
         }
@@ -156,7 +156,7 @@
 }
 
 /// Starts a random fault or evacuates a zone, and returns the function that ends it.
-fn evacuation_fault(world: &mut World) -> End {
+fn evacuation_fault(world: &mut World) -> FaultEnd {
     if world.rng.random_range(0..3) > 0 {
         return start_fault(world);
     }
@@ -168,9 +168,9 @@
     })
 }
 
-/// Ends the evacuation of all zones, once the faults are over and such an order can be carried
+/// Reverts the evacuation of all zones, once the faults are over and such an order can be carried
 /// out.
-fn readmit_zones(world: &mut World) {
+fn revert_evacuations(world: &mut World) {
     world.run(3_000);
     for zone in 0..ZONES {
         let ticket = world.evacuate(0, zone, false);
@@ -181,12 +181,12 @@
 
 /// The number of keepers of a zone in the tests of slow streams.
 const SLOW_KEEPERS: usize = 2;
-/// The number of instances of such a zone: two keepers and two entries.
+/// The number of instances of a zone in the tests of slow streams: two keepers and two entries.
 const SLOW_SIZE: usize = SLOW_KEEPERS + ENTRIES;
 
 /// Starts a random fault, which may delay the messages of streams by seconds, and returns the
 /// function that ends it.
-fn slow_fault(world: &mut World) -> End {
+fn slow_fault(world: &mut World) -> FaultEnd {
     let all = world.instances.len();
     let at = world.rng.random_range(0..all);
     let other = world.rng.random_range(0..all);
@@ -207,65 +207,66 @@
         }
         8 => {
             world.freeze(at);
-            return Box::new(move |world| world.thaw(at));
+            return Box::new(move |world| world.unfreeze(at));
         }
         9 => {
-            world.cut(at, other, true);
-            return Box::new(move |world| world.cut(at, other, false));
+            world.set_cut(at, other, true);
+            return Box::new(move |world| world.set_cut(at, other, false));
         }
         10 => {
-            world.wall(up, at, true);
-            return Box::new(move |world| world.wall(up, at, false));
+            world.block_calls(up, at, true);
+            return Box::new(move |world| world.block_calls(up, at, false));
         }
         11 | 12 => {
             // Upstreams are replaced, and the streams of the keeper that has received their
-            // announcements delay what it passes on.
+            // announcements delay the messages that pass the announcements on.
             let zone = at / SLOW_SIZE;
             let keeper = zone * SLOW_SIZE + at % SLOW_KEEPERS;
-            world.ear = Some(keeper);
+            world.announce_target = Some(keeper);
             for up in zone * UPSTREAMS..zone * UPSTREAMS + UPSTREAMS / 2 {
                 let suffix: u32 = world.rng.random();
-                world.upstreams[up].crash(&format!("i-{up}-{suffix}"));
+                world.upstreams[up].restart_as(&format!("i-{up}-{suffix}"));
                 world.announce(up, Phase::Serving);
             }
             (0..all).map(|other| (keeper, other)).collect()
         }
         _ => {
-            world.late = 15;
-            return Box::new(|world| world.late = 0);
+            world.late_orders = 15;
+            return Box::new(|world| world.late_orders = 0);
         }
     };
     let growing = world.rng.random_range(0..2) == 0;
     for (from, to) in &pairs {
         if growing {
-            world.fill_up(*from, *to, ms);
+            world.grow_delay(*from, *to, ms);
         } else {
-            world.slow(*from, *to, ms);
+            world.delay_stream(*from, *to, ms);
         }
     }
     Box::new(move |world| {
         for (from, to) in pairs {
-            world.slow(from, to, 0);
+            world.delay_stream(from, to, 0);
         }
-        world.ear = None;
+        world.announce_target = None;
     })
 }
 
 /// Submits a job every 20 ms for `ms` milliseconds, with the three kinds of jobs in turn.
-fn load(world: &mut World, kinds: Kinds, ms: u64) {
-    const GAP: u64 = 20;
-    for at in 0..ms / GAP {
+fn submit_load(world: &mut World, kinds: Kinds, ms: u64) {
+    /// The time between two jobs, milliseconds.
+    const INTERVAL: u64 = 20;
+    for at in 0..ms / INTERVAL {
         let zone = world.rng.random_range(0..ZONES);
         let (count, length) = kinds[at as usize % 3];
         let cpu = world.rng.random_range(10_000..20_000);
         let id = world.submit(zone, count, cpu, length);
-        let fatal = world.fatal > 0 && world.rng.random_range(0..world.fatal) == 0;
-        if fatal && let Some(request) = world.requests.get_mut(&id) {
+        let crashing = world.crash_odds > 0 && world.rng.random_range(0..world.crash_odds) == 0;
+        if crashing && let Some(request) = world.requests.get_mut(&id) {
             // The client waits for 30 s.
             request.job.patience = 30_000;
             world.crashing.insert(id.clone());
         }
-        world.run(GAP);
+        world.run(INTERVAL);
         if world.rng.random_range(0..20) == 0 {
             world.disconnect(&id);
         }
@@ -279,7 +280,7 @@
 struct Plan {
     /// The number of instances of a zone.
     size: usize,
-    fault: fn(&mut World) -> End,
+    fault: fn(&mut World) -> FaultEnd,
     kinds: Kinds,
     /// The factor by which faults last longer.
     duration_factor: u64,
@@ -307,23 +308,31 @@
     );
 }
 
-/// Runs a seed with upstreams whose room shrinks and grows and which refuse no task for want of
-/// room, and with one job in 100 that crashes each upstream that starts it.
-fn run_fatal(seed: u64) {
+/// Runs a seed with upstreams whose capacity shrinks and grows and which refuse no task for lack of
+/// capacity, and with one job in 100 that crashes each upstream that starts it.
+fn run_crashing(seed: u64) {
     let mut world = World::new(seed, ZONES, ENTRIES, UPSTREAMS);
-    world.fatal = 100;
+    world.crash_odds = 100;
     for upstream in &mut world.upstreams {
-        upstream.guards = false;
+        upstream.enforces_room = false;
     }
     let kinds = [(8, 60), (2, 200), (4, 900)];
-    let plan =
-        Plan { size: ENTRIES + 1, fault: fatal_fault, kinds, duration_factor: 3, recover: |_| {} };
+    let plan = Plan {
+        size: ENTRIES + 1,
+        fault: fault_sparing_schedulers,
+        kinds,
+        duration_factor: 3,
+        recover: |_| {},
+    };
     let world = run_plan(world, seed, &plan);
     let overcommits: u32 = world.upstreams.iter().map(|upstream| upstream.overcommits).sum();
-    assert_eq!(overcommits, 0, "seed {seed}: an upstream started tasks beyond its shrunken room");
-    let fatal = world.begun.iter().filter(|(task, _)| world.crashing.contains(&task.job));
-    for (task, starts) in fatal {
-        assert!(*starts <= MOST_STARTS, "seed {seed}: {starts} starts of {task:?}");
+    assert_eq!(
+        overcommits, 0,
+        "seed {seed}: an upstream started tasks beyond its shrunken capacity"
+    );
+    let crashing = world.start_counts.iter().filter(|(task, _)| world.crashing.contains(&task.job));
+    for (task, starts) in crashing {
+        assert!(*starts <= MAX_STARTS, "seed {seed}: {starts} starts of {task:?}");
     }
 }
 
@@ -338,13 +347,13 @@
         for _ in 0..count {
             ends.push(fault(&mut world));
             let time = world.rng.random_range(50..600);
-            load(&mut world, kinds, time);
+            submit_load(&mut world, kinds, time);
         }
         version += 1;
         let keeper = world.rng.random_range(0..ZONES) * size;
         let ticket = world.publish(keeper, version, "text");
         let time = world.rng.random_range(300..2_500) * duration_factor;
-        load(&mut world, kinds, time);
+        submit_load(&mut world, kinds, time);
         if world.reply(ticket) == Some(&Reply::Noted) {
             acknowledged = version;
         }
@@ -352,21 +361,21 @@
             end(&mut world);
         }
         let time = world.rng.random_range(100..1_500);
-        load(&mut world, kinds, time);
+        submit_load(&mut world, kinds, time);
     }
     for at in 0..world.instances.len() {
         if world.instances[at].core.is_none() {
             world.start(at);
         }
     }
-    world.fatal = 0;
+    world.crash_odds = 0;
     recover(&mut world);
     world.run(6_000);
-    let before = world.complete();
-    load(&mut world, kinds, 1_000);
+    let before = world.count_complete();
+    submit_load(&mut world, kinds, 1_000);
     world.run(4_000);
     assert_eq!(world.faults, Vec::<String>::new(), "seed {seed}");
-    let more = world.complete() - before;
+    let more = world.count_complete() - before;
     assert!(more > 20, "seed {seed}: only {more} jobs completed after the faults");
     for instance in &world.instances {
         let core = instance.core.as_ref().unwrap();
@@ -394,7 +403,7 @@
         let world = World::new(seed, ZONES, ENTRIES, UPSTREAMS);
         let kinds = [(8, 60), (2, 200), (4, 900)];
         let (size, fault, recover) =
-            (ENTRIES + 1, evacuation_fault as fn(&mut World) -> End, readmit_zones);
+            (ENTRIES + 1, evacuation_fault as fn(&mut World) -> FaultEnd, revert_evacuations);
         let world =
             run_plan(world, seed, &Plan { size, fault, kinds, duration_factor: 1, recover });
         for instance in &world.instances {
@@ -408,12 +417,12 @@
 fn fatal_seeds() {
     let first = env_number("FIRST_SEED", 1);
     for seed in first..first + env_number("SEEDS", 12) {
-        run_fatal(seed);
+        run_crashing(seed);
     }
 }
 
 /// Runs a seed with entries that are too weak to schedule their zones, so that keepers of other
-/// zones adopt these.
+/// zones schedule these.
 fn run_weak(seed: u64) {
     let mut world = World::with_keepers(seed, ZONES, 1, WEAK_ENTRIES, UPSTREAMS);
     world.cores = UPSTREAMS as u64;
@@ -437,7 +446,7 @@
 
 /// Starts a random fault, more often of a keeper than of another instance, and returns the function
 /// that ends it.
-fn weak_fault(world: &mut World) -> End {
+fn weak_fault(world: &mut World) -> FaultEnd {
     let keeper = world.rng.random_range(0..ZONES) * (WEAK_ENTRIES + 1);
     match world.rng.random_range(0..4) {
         0 => {
@@ -446,7 +455,7 @@
         }
         1 => {
             world.freeze(keeper);
-            Box::new(move |world| world.thaw(keeper))
+            Box::new(move |world| world.unfreeze(keeper))
         }
         _ => start_fault(world),
     }
@@ -480,7 +489,7 @@
 
 #[test]
 fn slow_shared_seeds() {
-    // These jobs have more tasks than fit into the free room of one zone, so several schedulers
+    // These jobs have more tasks than fit into the free capacity of one zone, so several schedulers
     // share them, each of which may be lost, frozen, cut off or late.
     let first = env_number("FIRST_SEED", 1);
     for seed in first..first + env_number("SEEDS", 12) {
--- a/crates/dispatch/tests/restart.rs
+++ b/crates/dispatch/tests/restart.rs
@@ -46,7 +46,7 @@
         world.run(10);
     }
     world.run(6_000);
-    let (good, all) = world.in_time();
+    let (good, all) = world.count_in_time();
     assert_eq!(world.faults, Vec::<String>::new());
     // 74 jobs are in time, and 70 if entries hand all jobs to the first scheduler.
     assert!(good * 100 >= all * 92, "{good} of {all} in time");
@@ -72,7 +72,7 @@
         world.run(30);
     }
     world.run(6_000);
-    let (good, all) = world.in_time();
+    let (good, all) = world.count_in_time();
     assert_eq!(world.faults, Vec::<String>::new());
     // 18 of 20 jobs are in time if the entry waits for the first list of instances.
     assert_eq!(good, all);
--- a/crates/dispatch/tests/room.rs
+++ b/crates/dispatch/tests/room.rs
@@ -26,20 +26,20 @@
 #[test]
 fn lost_news() {
     let mut world = World::with_keepers(1, 1, 2, 2, 1);
-    world.upstreams[0].guards = false;
-    world.ear = Some(1);
+    world.upstreams[0].enforces_room = false;
+    world.announce_target = Some(1);
     world.run(3_000);
     assert_eq!(world.schedulers(0), [0]);
-    world.cut(1, 0, true);
+    world.set_cut(1, 0, true);
     world.upstreams[0].room.cpu = 16_000;
     world.announce(0, Phase::Serving);
     world.run(5);
-    world.cut(1, 0, false);
+    world.set_cut(1, 0, false);
     world.run(2_000);
     world.submit(0, 2, 14_000, 200);
     world.run(2_000);
-    assert_eq!(world.upstreams[0].excess, 0, "starts in excess of its capacity");
-    assert_eq!(world.complete(), 1, "one task after the other");
+    assert_eq!(world.upstreams[0].oversized_starts, 0, "starts in excess of its capacity");
+    assert_eq!(world.count_complete(), 1, "one task after the other");
 }
 
 #[test]
@@ -50,7 +50,7 @@
     for seed in 0..5 {
         let mut world = World::new(seed, 1, 2, 6);
         for upstream in &mut world.upstreams {
-            upstream.guards = false;
+            upstream.enforces_room = false;
         }
         world.run(3_000);
         for round in 0..4_u64 {
@@ -60,12 +60,12 @@
             }
             // Orders in transit may still arrive.
             world.run(20);
-            let before: Vec<_> = world.upstreams.iter().map(|u| u.excess).collect();
+            let before: Vec<_> = world.upstreams.iter().map(|u| u.oversized_starts).collect();
             for _ in 0..40 {
                 world.submit(0, 2, 14_000, 120);
                 world.run(25);
             }
-            let after: Vec<_> = world.upstreams.iter().map(|u| u.excess).collect();
+            let after: Vec<_> = world.upstreams.iter().map(|u| u.oversized_starts).collect();
             assert_eq!(before, after, "seed {seed}, round {round}");
         }
         world.run(4_000);
@@ -76,9 +76,9 @@
 /// A scheduler that knows the upstreams only since they shrank does not fail a job that fits as
 /// soon as an upstream has grown again.
 ///
-/// Guards against a scheduler that takes the current capacity of upstreams for the most that they
-/// ever had. All upstreams of a zone announced that they had shrunk from 32 cores to 8, and the
-/// zone's keeper was lost. The next scheduler ended a job of 14 cores as permanently too large,
+/// Guards against a scheduler that treats the current capacity of upstreams as the largest that
+/// they have had. All upstreams of a zone announced that they had shrunk from 32 cores to 8, and
+/// the zone's keeper was lost. The next scheduler ended a job of 14 cores as permanently too large,
 /// although it would have fitted half a second later.
 #[test]
 fn successor_of_shrunk() {
@@ -107,7 +107,7 @@
             world.announce(at, Phase::Serving);
         }
         world.run(2_000);
-        assert_eq!(world.complete(), 1, "{keepers} keepers, restart {restart}");
+        assert_eq!(world.count_complete(), 1, "{keepers} keepers, restart {restart}");
     }
 }
 
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Refuses all ordered starts for lack of capacity and returns the upstreams they were sent to.
+    /// Refuses all ordered starts for lack of capacity and returns the upstreams that they were
+    /// sent to.
     fn refuse_starts(&mut self) -> Vec<String> {
         let mut refused = Vec::new();
         for call in std::mem::take(&mut self.calls) {
@@ -176,7 +177,7 @@
         self.wait(0);
     }
 
-    /// Reports that the job's entry is still waiting.
+    /// Tells the scheduler that the job's entry is still waiting.
     fn await_job(&mut self, id: &str) {
         self.sched.renew_awaited(&[sample::awaited(id)], &"e".into(), self.now, self.now);
     }
--- a/crates/dispatch/tests/stopped.rs
+++ b/crates/dispatch/tests/stopped.rs
@@ -109,7 +109,7 @@
 
 #[test]
 fn two_runs_adopted() {
-    // The job is submitted again while both runs continue. One of them is enough.
+    // The job is submitted again while both runs continue. The scheduler keeps one of them.
     let (mut harness, holds) = Harness::new(&["u1", "u2"]);
     harness.answer(call_to(&holds, "u1"), running(1, 10), vec![]);
     harness.answer(call_to(&holds, "u2"), running(2, 10), vec![]);
--- a/crates/dispatch/tests/timing.rs
+++ b/crates/dispatch/tests/timing.rs
@@ -44,17 +44,17 @@
 
 #[test]
 fn late_answers_are_no_work() {
-    // The answers of all upstreams arrive 40 ms late. This counts as delay, and the work takes as
-    // long as without it. Simulated upstreams end their tasks in steps of 20 ms.
+    // The answers of all upstreams arrive 40 ms late. That time counts as delay, and the work takes
+    // as long as without it. Simulated upstreams end their tasks in steps of 20 ms.
     let mut world = World::new(1, 1, 1, 2);
     world.run(3_000);
     for lag in [0, 40] {
         world.answer_lag = lag * MS;
         world.run(1_000);
-        world.splits.clear();
+        world.breakdowns.clear();
         world.submit(0, 1, 1_000, 200);
         world.run(1_000);
-        let [parts] = world.splits[..] else { panic!("{:?}", world.splits) };
+        let [parts] = world.breakdowns[..] else { panic!("{:?}", world.breakdowns) };
         assert!((200 * MS..=220 * MS).contains(&parts.work), "{lag}: {parts:?}");
         let delay = parts.order + parts.told;
         assert!((lag * MS..=(lag + 20) * MS).contains(&delay), "{lag}: {parts:?}");
--- a/crates/dispatch/tests/world/call.rs
+++ b/crates/dispatch/tests/world/call.rs
@@ -17,10 +17,10 @@
         let keepers: Vec<_> = (0..self.instances.len())
             .filter(|i| self.instances[*i].core.is_some() && !self.instances[*i].frozen)
             .filter(|i| self.instances[*i].card.role == Role::Keeper)
-            .filter(|i| !self.walls.contains(&(at, *i)))
-            .filter(|i| self.ear.is_none_or(|ear| ear == *i))
+            .filter(|i| !self.blocked_calls.contains(&(at, *i)))
+            .filter(|i| self.announce_target.is_none_or(|target| target == *i))
             .collect();
-        if keepers.is_empty() || !self.upstreams[at].up {
+        if keepers.is_empty() || !self.upstreams[at].is_up {
             return;
         }
         let keeper = keepers[self.rng.random_range(0..keepers.len())];
@@ -40,10 +40,11 @@
         self.handle(keeper, Event::Announce(0, record));
     }
 
+    /// Passes a call to its upstream, if the upstream is up and can be reached.
     pub(super) fn arrive(&mut self, call: Call, from: (usize, u64)) {
         let at = self.upstreams.iter().position(|u| u.address == call.address.as_str());
-        let Some(at) = at.filter(|at| self.upstreams[*at].up) else { return };
-        if self.walls.contains(&(at, from.0)) {
+        let Some(at) = at.filter(|at| self.upstreams[*at].is_up) else { return };
+        if self.blocked_calls.contains(&(at, from.0)) {
             return;
         }
         let spec = match &call.order {
@@ -53,27 +54,28 @@
         let (number, fence, order) = (call.number, call.fence, call.order.clone());
         if let Some(outcome) = self.upstreams[at].handle_call(call, from, spec, self.now) {
             if let (Order::Start { task, .. }, Outcome::Done(_)) = (&order, &outcome) {
-                self.starts.insert(task.clone(), self.now);
-                *self.begun.entry(task.clone()).or_default() += 1;
+                self.start_times.insert(task.clone(), self.now);
+                *self.start_counts.entry(task.clone()).or_default() += 1;
                 if self.crashing.contains(&task.job) {
                     let id = self.upstreams[at].id.clone();
                     self.push(self.now + CRASH_DELAY, Action::Crash { at, id });
                 }
             }
-            self.check();
+            self.check_duplicates();
             self.answer(at, number, fence, from, outcome);
         }
     }
 
-    /// Crashes an upstream and all tasks that run there. It restarts later under another id.
-    pub(super) fn crash(&mut self, at: usize, id: &str) {
-        if self.upstreams[at].id == id && self.upstreams[at].up {
-            self.upstreams[at].up = false;
+    /// Crashes an upstream, which loses its running tasks and restarts later under another id.
+    pub(super) fn crash_upstream(&mut self, at: usize, id: &str) {
+        if self.upstreams[at].id == id && self.upstreams[at].is_up {
+            self.upstreams[at].is_up = false;
             self.upstreams[at].waiting.clear();
             self.push(self.now + RESTART_DELAY, Action::Restart { at, id: id.to_owned() });
         }
     }
 
+    /// Sends the answer to a call, unless the upstream cannot reach the caller.
     pub(super) fn answer(
         &mut self,
         at: usize,
@@ -82,7 +84,7 @@
         to: (usize, u64),
         outcome: Outcome,
     ) {
-        if !self.walls.contains(&(at, to.0)) {
+        if !self.blocked_calls.contains(&(at, to.0)) {
             self.push(
                 self.now + 300 + self.answer_lag,
                 Action::Answer { to, number, fence, outcome },
--- a/crates/dispatch/tests/world/client.rs
+++ b/crates/dispatch/tests/world/client.rs
@@ -12,13 +12,14 @@
 use super::{Action, RETRY_DELAY, Request, World, upstream::MS, zone_name};
 
 impl World {
-    /// Submits a job of one step from a client in `zone`, with an exact estimate of its length.
+    /// Submits a job of one step from a client in `zone`, with an exact estimate of the length of
+    /// its tasks, milliseconds.
     pub fn submit(&mut self, zone: usize, count: u32, cpu: u64, length: u64) -> Name {
         self.submit_as(zone, count, cpu, length, length, 0)
     }
 
     /// Submits a job of one step from a client in `zone` to the queue of a priority, with an
-    /// estimate of its length.
+    /// estimate of the length of its tasks, milliseconds.
     pub fn submit_as(
         &mut self,
         zone: usize,
@@ -49,14 +50,21 @@
             entry_clock: 0,
         };
         let zone = zone_name(zone);
-        let request =
-            Request { job, zone, at: None, first: self.now, sent: self.now, verdict: None };
+        let request = Request {
+            job,
+            zone,
+            at: None,
+            first_sent: self.now,
+            last_sent: self.now,
+            verdict: None,
+        };
         self.requests.insert(id.clone(), request);
         self.push(self.now, Action::Submit { id: id.clone() });
         id
     }
 
-    /// Submits a job of two steps with two tasks each from a client in `zone`.
+    /// Submits a job of two steps with two tasks each from a client in `zone`; the second step
+    /// depends on the first.
     pub fn submit_steps(&mut self, zone: usize, cpu: u64, length: u64) -> Name {
         let id = self.submit(zone, 2, cpu, length);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -76,14 +84,15 @@
         self.push(self.now, Action::Submit { id: id.clone() });
     }
 
+    /// Sends a job to a random entry of its client's zone, or of any zone if that zone has none.
     pub(super) fn send_job(&mut self, id: &Name) {
         let Some(request) = self.requests.get(id) else { return };
         if request.verdict.is_some() || request.at.is_some() {
             return;
         }
-        let up = |i: &usize| self.instances[*i].core.is_some();
-        let entry = |i: &usize| self.instances[*i].card.role == Role::Entry;
-        let entries: Vec<_> = (0..self.instances.len()).filter(entry).filter(up).collect();
+        let is_up = |i: &usize| self.instances[*i].core.is_some();
+        let is_entry = |i: &usize| self.instances[*i].card.role == Role::Entry;
+        let entries: Vec<_> = (0..self.instances.len()).filter(is_entry).filter(is_up).collect();
         let home: Vec<_> = entries
             .iter()
             .copied()
@@ -106,13 +115,13 @@
         self.tickets.insert(ticket, id.clone());
         if let Some(request) = self.requests.get_mut(id) {
             request.at = Some(at);
-            request.sent = self.now;
+            request.last_sent = self.now;
             let job = Box::new(request.job.clone());
             self.handle(at, Event::Submit(ticket, job));
         }
     }
 
-    /// Disconnects the client of a job, which gives up.
+    /// Disconnects the client of a job, which never submits the job again.
     pub fn disconnect(&mut self, id: &Name) {
         let tickets: Vec<_> =
             self.tickets.iter().filter(|(_, other)| *other == id).map(|(t, _)| *t).collect();
@@ -125,12 +134,13 @@
         self.requests.remove(id);
     }
 
+    /// Records the verdict of a request, and a fault if the verdict is not true.
     pub(super) fn record_verdict(&mut self, ticket: u64, verdict: Verdict) {
         let Some(id) = self.tickets.remove(&ticket) else { return };
         // A submission that was lost together with its entry was not refused, so the verdict is
         // checked only against the starts since the current submission.
-        let since = self.requests.get(&id).map_or(0, |request| request.sent);
-        let ran = self.starts.iter().any(|(task, at)| task.job == id && *at >= since);
+        let since = self.requests.get(&id).map_or(0, |request| request.last_sent);
+        let ran = self.start_times.iter().any(|(task, at)| task.job == id && *at >= since);
         if matches!(verdict, Verdict::NotRun(_)) && ran {
             self.faults.push(format!(
                 "{} ms: {id} was reported as not run, but a task of it has run",
@@ -153,16 +163,16 @@
 
     /// Returns the number of jobs that were reported as complete within their objective, and the
     /// number of all jobs.
-    pub fn in_time(&self) -> (usize, usize) {
+    pub fn count_in_time(&self) -> (usize, usize) {
         let good = self.requests.values().filter(|request| {
-            let limit = request.first + request.job.objective * MS;
+            let limit = request.first_sent + request.job.objective * MS;
             matches!(&request.verdict, Some((Verdict::Complete, at)) if *at <= limit)
         });
         (good.count(), self.requests.len())
     }
 
     /// Returns the number of jobs that were reported as complete.
-    pub fn complete(&self) -> usize {
+    pub fn count_complete(&self) -> usize {
         let complete = |r: &&Request| matches!(r.verdict, Some((Verdict::Complete, _)));
         self.requests.values().filter(complete).count()
     }
--- a/crates/dispatch/tests/world/fault.rs
+++ b/crates/dispatch/tests/world/fault.rs
@@ -60,7 +60,7 @@
     }
 
     /// Kills the process of an instance and erases its disk.
-    pub fn wipe(&mut self, at: usize) {
+    pub fn lose_disk(&mut self, at: usize) {
         self.kill(at);
         let incarnation = self.rng.random_range(2..u64::from(u32::MAX));
         if let Some(disk) = &mut self.instances[at].disk {
@@ -70,8 +70,8 @@
     }
 
     /// Replaces a keeper by one with an empty disk at another address.
-    pub fn move_keeper(&mut self, at: usize, name: &str) {
-        self.wipe(at);
+    pub fn replace_keeper(&mut self, at: usize, name: &str) {
+        self.lose_disk(at);
         let former = std::mem::replace(&mut self.instances[at].card.name, Name::new(name));
         // Instances that start from now on get the new address as a seed.
         for seed in self.seeds.iter_mut().filter(|seed| **seed == former) {
@@ -80,42 +80,42 @@
         self.start(at);
     }
 
-    /// Suspends an instance: its events are deferred until it thaws.
+    /// Freezes an instance: its events are deferred until it is unfrozen.
     pub fn freeze(&mut self, at: usize) {
         self.instances[at].frozen = true;
     }
 
-    /// Resumes a frozen instance and delivers its deferred events.
-    pub fn thaw(&mut self, at: usize) {
+    /// Unfreezes an instance and delivers its deferred events.
+    pub fn unfreeze(&mut self, at: usize) {
         self.instances[at].frozen = false;
         for action in std::mem::take(&mut self.instances[at].deferred) {
             self.push(self.now + 1, action);
         }
     }
 
-    /// Cuts a zone off from the instances and upstreams of all other zones, or reconnects it.
-    pub fn cut_zone(&mut self, zone: usize, cut: bool) {
+    /// Cuts a zone off from the instances and upstreams of all other zones, or heals the partition.
+    pub fn set_zone_cut(&mut self, zone: usize, cut: bool) {
         let zone = zone_name(zone);
         for a in 0..self.instances.len() {
             for b in 0..self.instances.len() {
                 let across =
                     (self.instances[a].card.zone == zone) != (self.instances[b].card.zone == zone);
                 if across {
-                    self.cut(a, b, cut);
+                    self.set_cut(a, b, cut);
                 }
             }
             for u in 0..self.upstreams.len() {
                 let across = (self.instances[a].card.zone == zone)
                     != (self.upstreams[u].zone == *zone.as_str());
                 if across {
-                    self.wall(u, a, cut);
+                    self.block_calls(u, a, cut);
                 }
             }
         }
     }
 
-    /// Cuts or reconnects one direction of the link between two instances.
-    pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
+    /// Cuts or heals one direction of the link between two instances.
+    pub fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
         if cut {
             self.cuts.insert((from, to));
         } else {
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Cuts or reconnects both directions of the link between an upstream and an instance.
-    pub fn wall(&mut self, upstream: usize, instance: usize, wall: bool) {
-        if wall {
-            self.walls.insert((upstream, instance));
+    /// Blocks or unblocks all calls and announcements between an upstream and an instance.
+    pub fn block_calls(&mut self, upstream: usize, instance: usize, blocked: bool) {
+        if blocked {
+            self.blocked_calls.insert((upstream, instance));
         } else {
-            self.walls.remove(&(upstream, instance));
+            self.blocked_calls.remove(&(upstream, instance));
         }
     }
 }
--- a/crates/dispatch/tests/world/link.rs
+++ b/crates/dispatch/tests/world/link.rs
@@ -33,14 +33,14 @@
     /// The bandwidth of instances with a limited link, bytes per millisecond. Transmission to other
     /// instances takes no time.
     pub rates: BTreeMap<usize, u64>,
-    /// Bytes that were sent to each instance, by kind of message.
-    pub received: BTreeMap<(usize, &'static str), u64>,
-    queues: BTreeMap<usize, Link>,
+    /// The bytes sent to each instance with a limited link, by kind of message.
+    pub sent_bytes: BTreeMap<(usize, &'static str), u64>,
+    receivers: BTreeMap<usize, Link>,
 }
 
 impl Links {
     /// Returns whether the link of an instance has a limited bandwidth.
-    pub fn is_slow(&self, to: usize) -> bool {
+    pub fn is_limited(&self, to: usize) -> bool {
         self.rates.contains_key(&to)
     }
 
@@ -48,8 +48,8 @@
     /// next turn.
     pub fn add(&mut self, from: usize, to: usize, stream: u64, body: Body) -> bool {
         let remaining = coord::machine::encode(&body).len();
-        *self.received.entry((to, body.kind())).or_default() += remaining as u64;
-        let link = self.queues.entry(to).or_default();
+        *self.sent_bytes.entry((to, body.kind())).or_default() += remaining as u64;
+        let link = self.receivers.entry(to).or_default();
         let idle = link.streams.is_empty();
         let transfer = Transfer { remaining, stream, body };
         match link.streams.iter_mut().find(|(other, _)| *other == from) {
@@ -61,9 +61,9 @@
 
     /// Runs one turn of a link. Returns its duration, microseconds, and the message whose
     /// transmission it completes, if any; returns `None` if the link is idle.
-    pub fn turn(&mut self, to: usize) -> Option<(u64, Option<Arrived>)> {
+    pub fn run_turn(&mut self, to: usize) -> Option<(u64, Option<Arrived>)> {
         let rate = *self.rates.get(&to)?;
-        let link = self.queues.get_mut(&to)?;
+        let link = self.receivers.get_mut(&to)?;
         let (from, mut waiting) = link.streams.pop_front()?;
         let first = waiting.front_mut()?;
         let sent = first.remaining.min(TURN_BYTES);
@@ -81,9 +81,9 @@
     }
 
     /// Returns the bytes of the messages of some kinds that were sent to an instance.
-    pub fn bytes(&self, to: usize, kinds: &[&str]) -> u64 {
+    pub fn bytes_to(&self, to: usize, kinds: &[&str]) -> u64 {
         let matching =
-            self.received.iter().filter(|((at, kind), _)| *at == to && kinds.contains(kind));
+            self.sent_bytes.iter().filter(|((at, kind), _)| *at == to && kinds.contains(kind));
         matching.map(|(_, bytes)| bytes).sum()
     }
 }
