--- a/crates/dispatch/tests/world/mod.rs
+++ b/crates/dispatch/tests/world/mod.rs
@@ -34,6 +34,7 @@
 
 /// The wall-clock time at the start of the simulation, milliseconds.
 const WALL_CLOCK_MS: u64 = 1_800_000_000_000;
+/// The time between two ticks of each instance and upstream, microseconds.
 const TICK_INTERVAL: u64 = 20 * MS;
 /// The delay before a client retries a job, microseconds.
 const RETRY_DELAY: u64 = 1_300 * MS;
@@ -89,9 +90,11 @@
     deferred: Vec<Action>,
     /// Counts the processes of this instance, so that answers to former ones are dropped.
     generation: u64,
+    /// The content and the incarnation of its disk, if it has one.
     disk: Option<(Mirror, u64)>,
     /// The upstreams and peers that are stored on its disk.
     pub known: Known,
+    /// Whether it has never been started.
     first_start: bool,
 }
 
@@ -112,9 +115,10 @@
     zone: Name,
     /// The entry that the request is open at.
     pub at: Option<usize>,
-    /// When the client first submitted it.
-    pub first: u64,
-    pub sent: u64,
+    /// When the client first submitted it, microseconds.
+    pub first_sent: u64,
+    /// When the client last submitted it, microseconds.
+    pub last_sent: u64,
     pub verdict: Option<(Verdict, u64)>,
 }
 
@@ -126,59 +130,63 @@
 }
 
 pub struct World {
+    /// The virtual time, microseconds.
     pub now: u64,
     pub rng: SmallRng,
     pub instances: Vec<Instance>,
     pub upstreams: Vec<Upstream>,
     pub requests: BTreeMap<Name, Request>,
+    /// Pairs of a sender and a receiver whose messages are dropped.
     pub cuts: BTreeSet<(usize, usize)>,
     /// Pairs of an upstream and an instance that cannot reach each other.
-    pub walls: BTreeSet<(usize, usize)>,
+    pub blocked_calls: BTreeSet<(usize, usize)>,
     /// If set, the only keeper to which upstreams announce themselves.
-    pub ear: Option<usize>,
+    pub announce_target: Option<usize>,
     /// The wall-clock error of instances that start from now on, milliseconds.
     pub clock_skew: i64,
-    /// Extra delay of messages between instances because their receivers are busy, microseconds.
-    pub busy: u64,
+    /// The extra delay of messages between instances because their receivers are busy,
+    /// microseconds.
+    pub message_delay: u64,
     /// Streams that delay their messages without reordering them, because the link or a queue on
     /// the path is full.
-    pub slow: BTreeMap<(usize, usize), StreamDelay>,
+    pub stream_delays: BTreeMap<(usize, usize), StreamDelay>,
     /// Whether a redial loses the messages that are in transit on the old stream.
     pub redial_loss: bool,
     /// One start order in this many is carried out 3 s late, and its caller gets no answer in time;
     /// 0 for none.
-    pub late: u32,
-    /// Extra delay of answers from upstreams, microseconds.
+    pub late_orders: u32,
+    /// The extra delay of answers from upstreams, microseconds.
     pub answer_lag: u64,
     /// The time breakdowns of finished tasks.
-    pub splits: Vec<Breakdown>,
+    pub breakdowns: Vec<Breakdown>,
     /// One hold call in this many, which asks for running and ended tasks, is lost; 0 for none.
-    pub mute: u32,
+    pub hold_loss: u32,
+    /// Violations of the checked invariants.
     pub faults: Vec<String>,
-    /// One job in this many crashes the upstreams that start it; 0 for none.
-    pub fatal: u32,
+    /// One job in this many is submitted as a crashing one; 0 for none.
+    pub crash_odds: u32,
     /// Jobs whose tasks crash the upstream that starts them.
     pub crashing: BTreeSet<Name>,
     /// The number of starts of each task.
-    pub begun: BTreeMap<Task, u32>,
-    /// When each task was last started at an upstream.
-    pub starts: BTreeMap<Task, u64>,
-    /// When an instance last ordered a task to start at an upstream of each zone.
-    orders: BTreeMap<String, u64>,
+    pub start_counts: BTreeMap<Task, u32>,
+    /// When each task was last started at an upstream, microseconds.
+    pub start_times: BTreeMap<Task, u64>,
+    /// When an instance last ordered a task to start at an upstream of each zone, microseconds.
+    order_times: BTreeMap<String, u64>,
     /// Tasks that have finished their work.
     pub done: BTreeSet<Task>,
     pub replies: Vec<(u64, Reply)>,
     /// The real time that each instance spent on handling events, on the machine that runs the
     /// test.
-    pub spent: BTreeMap<usize, std::time::Duration>,
+    pub handling_time: BTreeMap<usize, std::time::Duration>,
     /// Links with a limited bandwidth; by default no link has a limit.
     pub links: link::Links,
     /// Streams that were opened, as sender and receiver.
     pub streams: BTreeSet<(usize, usize)>,
     /// The number of messages between instances, by kind.
     pub sent: BTreeMap<&'static str, u64>,
-    /// The number of log notes, by text.
-    pub notes: BTreeMap<&'static str, u64>,
+    /// The number of log lines, by text.
+    pub log_counts: BTreeMap<&'static str, u64>,
     /// Whether `flows` counts messages and their encoded size.
     pub count_flows: bool,
     /// The messages that each instance sent (`true`) and received (`false`), by kind.
@@ -193,8 +201,8 @@
     last_jittered: BTreeMap<(usize, usize), u64>,
     /// Streams that drop all messages until they are redialled.
     pub stalled: BTreeSet<(usize, usize)>,
-    /// Processor capacity of entries that start from now on, thousandths of a core; keepers have 5
-    /// times as much.
+    /// The processor capacity of entries that start from now on, thousandths of a core; keepers
+    /// have 5 times as much.
     pub cores: u64,
     /// The scheduling policy of instances that start from now on.
     pub policy: Policy,
@@ -232,29 +240,29 @@
             upstreams: Vec::new(),
             requests: BTreeMap::new(),
             cuts: BTreeSet::new(),
-            walls: BTreeSet::new(),
-            ear: None,
+            blocked_calls: BTreeSet::new(),
+            announce_target: None,
             clock_skew: 0,
-            busy: 0,
-            slow: BTreeMap::new(),
+            message_delay: 0,
+            stream_delays: BTreeMap::new(),
             redial_loss: false,
-            late: 0,
+            late_orders: 0,
             answer_lag: 0,
-            splits: Vec::new(),
-            mute: 0,
+            breakdowns: Vec::new(),
+            hold_loss: 0,
             faults: Vec::new(),
-            fatal: 0,
+            crash_odds: 0,
             crashing: BTreeSet::new(),
-            begun: BTreeMap::new(),
-            starts: BTreeMap::new(),
-            orders: BTreeMap::new(),
+            start_counts: BTreeMap::new(),
+            start_times: BTreeMap::new(),
+            order_times: BTreeMap::new(),
             done: BTreeSet::new(),
             replies: Vec::new(),
-            spent: BTreeMap::new(),
+            handling_time: BTreeMap::new(),
             links: link::Links::default(),
             streams: BTreeSet::new(),
             sent: BTreeMap::new(),
-            notes: BTreeMap::new(),
+            log_counts: BTreeMap::new(),
             count_flows: false,
             flows: BTreeMap::new(),
             calls: BTreeMap::new(),
@@ -349,10 +357,13 @@
                 }
             }
             Action::LinkTurn { to } => {
-                if let Some((duration, arrived)) = self.links.turn(to) {
+                if let Some((duration, arrived)) = self.links.run_turn(to) {
                     let end = self.now + duration;
                     if let Some((from, stream, body)) = arrived {
-                        self.push(end + self.busy, Action::Deliver { to, from, stream, body });
+                        self.push(
+                            end + self.message_delay,
+                            Action::Deliver { to, from, stream, body },
+                        );
                     }
                     self.push(end, Action::LinkTurn { to });
                 }
@@ -373,10 +384,10 @@
                 }
             }
             Action::Submit { id } => self.send_job(&id),
-            Action::Crash { at, id } => self.crash(at, &id),
+            Action::Crash { at, id } => self.crash_upstream(at, &id),
             Action::Restart { at, id } => {
                 if self.upstreams[at].id == id {
-                    self.upstreams[at].crash(&format!("{id}+"));
+                    self.upstreams[at].restart_as(&format!("{id}+"));
                     self.announce(at, Phase::Serving);
                 }
             }
@@ -396,7 +407,7 @@
             }
         }
         for at in 0..self.upstreams.len() {
-            if self.upstreams[at].up {
+            if self.upstreams[at].is_up {
                 let due = self.upstreams[at].tick(self.now);
                 self.done.extend(self.upstreams[at].done.drain(..));
                 for waiting in due {
@@ -405,7 +416,7 @@
                 }
             }
         }
-        self.check();
+        self.check_duplicates();
         if (self.now / TICK_INTERVAL).is_multiple_of(50) {
             for at in 0..self.upstreams.len() {
                 self.announce(at, Phase::Serving);
@@ -413,9 +424,10 @@
         }
     }
 
-    fn check(&mut self) {
+    /// Records a fault for each task that runs more than once at the same time.
+    fn check_duplicates(&mut self) {
         let mut running: BTreeMap<&Task, usize> = BTreeMap::new();
-        for upstream in self.upstreams.iter().filter(|upstream| upstream.up) {
+        for upstream in self.upstreams.iter().filter(|upstream| upstream.is_up) {
             for task in upstream.runs.keys() {
                 *running.entry(task).or_default() += 1;
             }
@@ -441,7 +453,7 @@
 }
 
 /// Returns a random text of `bytes` bytes, which compresses hardly at all.
-pub fn text(bytes: usize, seed: u64) -> String {
+pub fn random_text(bytes: usize, seed: u64) -> String {
     let mut rng = SmallRng::seed_from_u64(seed);
     (0..bytes).map(|_| char::from(rng.random_range(b'!'..=b'~'))).collect()
 }
--- a/crates/dispatch/tests/world/operator.rs
+++ b/crates/dispatch/tests/world/operator.rs
@@ -25,7 +25,7 @@
         ticket
     }
 
-    /// Evacuates a zone, or ends its evacuation, at a keeper; returns the ticket.
+    /// Evacuates a zone, or reverts its evacuation, at a keeper; returns the ticket.
     pub fn evacuate(&mut self, at: usize, zone: usize, evacuated: bool) -> u64 {
         self.sequence += 1;
         let ticket = self.sequence;
--- a/crates/dispatch/tests/world/stream.rs
+++ b/crates/dispatch/tests/world/stream.rs
@@ -7,7 +7,7 @@
 impl World {
     /// Returns when a message arrives that would arrive at `at` on a stream without a delay.
     pub(super) fn arrival_time(&mut self, from: usize, to: usize, at: u64) -> u64 {
-        let wait = self.slow.get(&(from, to)).map_or(0, |delay| match delay.since {
+        let wait = self.stream_delays.get(&(from, to)).map_or(0, |delay| match delay.since {
             Some(since) => delay.max.min((self.now - since) / 2),
             None => delay.max,
         });
@@ -19,21 +19,22 @@
         *last
     }
 
-    /// Delays messages from one instance to another from now on, milliseconds; 0 ends the delay.
-    pub fn slow(&mut self, from: usize, to: usize, ms: u64) {
+    /// Delays messages from one instance to another by `ms` milliseconds from now on; 0 ends the
+    /// delay.
+    pub fn delay_stream(&mut self, from: usize, to: usize, ms: u64) {
         self.set_delay(from, to, StreamDelay { max: ms * MS, since: None });
     }
 
     /// Delays messages from one instance to another by a growing time, up to `ms` milliseconds.
-    pub fn fill_up(&mut self, from: usize, to: usize, ms: u64) {
+    pub fn grow_delay(&mut self, from: usize, to: usize, ms: u64) {
         self.set_delay(from, to, StreamDelay { max: ms * MS, since: Some(self.now) });
     }
 
     fn set_delay(&mut self, from: usize, to: usize, delay: StreamDelay) {
         if delay.max == 0 {
-            self.slow.remove(&(from, to));
+            self.stream_delays.remove(&(from, to));
         } else if from != to {
-            self.slow.insert((from, to), delay);
+            self.stream_delays.insert((from, to), delay);
         }
     }
 
--- a/crates/dispatch/tests/world/upstream.rs
+++ b/crates/dispatch/tests/world/upstream.rs
@@ -1,5 +1,5 @@
-//! A simulated upstream in virtual time: room, fencing, leases, the list of ended tasks and hold
-//! calls that wait for an end.
+//! A simulated upstream in virtual time: capacity, fencing, leases, the list of ended tasks and
+//! hold calls that wait for an end.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +9,12 @@
     upstream::Room,
 };
 
+/// One millisecond, microseconds.
 pub const MS: u64 = 1_000;
 /// The longest lease, milliseconds.
 const MAX_LEASE: u64 = 1_000;
-/// The time in which schedulers must learn of a shrunken room, microseconds: 3 s and an
-/// announcement.
+/// The time in which schedulers must learn that the capacity has shrunk, microseconds: 3 s and one
+/// announcement interval.
 const RESIZE_GRACE: u64 = 4_500 * MS;
 /// The time that stopping a task takes, microseconds.
 const STOP_TIME: u64 = 30 * MS;
@@ -27,6 +28,7 @@
     since: u64,
     /// The time that the whole task takes at the current speed, microseconds.
     length: u64,
+    /// When the run ends because of a stop order, microseconds.
     stopping: Option<u64>,
 }
 
@@ -55,37 +57,44 @@
     pub address: String,
     pub zone: String,
     pub room: Room,
-    pub up: bool,
+    pub is_up: bool,
+    /// Whether its tasks make no progress.
     pub hangs: bool,
+    /// Whether its tasks fail when their work is done.
     pub fails: bool,
     /// The factor by which tasks take longer than their nominal length.
     slowness: u64,
     /// Whether it refuses all stop orders as unhealthy.
-    pub sullen: bool,
-    /// Whether it refuses tasks that do not fit into its room.
-    pub guards: bool,
-    /// The number of start orders that did not fit into the room, whether refused or not.
-    pub excess: u32,
-    /// The number of accepted starts that exceeded the room when schedulers should already have
-    /// known its size, at an upstream that does not refuse them.
+    pub refuses_stops: bool,
+    /// Whether it refuses tasks that exceed its capacity.
+    pub enforces_room: bool,
+    /// The number of start orders that exceeded the capacity, whether refused or not.
+    pub oversized_starts: u32,
+    /// The number of accepted starts that exceeded the capacity when schedulers should already have
+    /// known it, at an upstream that does not refuse them.
     pub overcommits: u32,
-    /// When its room last changed, microseconds.
+    /// When its capacity last changed, microseconds.
     resized: u64,
     pub runs: BTreeMap<Task, Run>,
     pub waiting: Vec<Waiting>,
     pub serial: u64,
+    /// The difference of its clock from the virtual time, milliseconds.
     offset: u64,
+    /// The highest fencing token that it has received.
     fence: u64,
+    /// When its lease ends, by its clock, milliseconds.
     lease: u64,
     ended: Vec<Ended>,
+    /// The number of the last end.
     number: u64,
+    /// The highest attempt of each task that has ended or was ordered to stop.
     highest: BTreeMap<Task, u32>,
     /// Finished tasks, until the simulation collects them.
     pub done: Vec<Task>,
 }
 
 impl Upstream {
-    /// Returns whether a task of the job has ended here.
+    /// Returns whether a task of the job has ended here or was ordered to stop.
     pub fn has_run(&self, job: &state::name::Name) -> bool {
         self.highest.keys().any(|task| task.job == *job)
     }
@@ -96,13 +105,13 @@
             address: "10.9.0.1:80".to_owned(),
             zone: zone.to_owned(),
             room: Room { cpu, memory: 64_000, accelerators: 0 },
-            up: true,
+            is_up: true,
             hangs: false,
             fails: false,
             slowness: 1,
-            sullen: false,
-            guards: true,
-            excess: 0,
+            refuses_stops: false,
+            enforces_room: true,
+            oversized_starts: 0,
             overcommits: 0,
             resized: 0,
             runs: BTreeMap::new(),
@@ -123,7 +132,7 @@
         now / MS + self.offset
     }
 
-    /// Changes its processor room while it runs.
+    /// Changes its processor capacity while it runs.
     pub fn resize(&mut self, cpu: u64, now: u64) {
         self.room.cpu = cpu;
         self.resized = now;
@@ -139,10 +148,10 @@
     }
 
     /// Restarts the upstream under a new id, without its tasks and its former state.
-    pub fn crash(&mut self, id: &str) {
+    pub fn restart_as(&mut self, id: &str) {
         let fresh = Self::new(id, &self.zone.clone(), self.room.cpu, self.offset);
-        let (address, guards) = (self.address.clone(), self.guards);
-        *self = Self { address, guards, ..fresh };
+        let (address, enforces_room) = (self.address.clone(), self.enforces_room);
+        *self = Self { address, enforces_room, ..fresh };
     }
 
     /// Executes the order of a call. Returns `None` for a hold that waits.
@@ -174,7 +183,7 @@
             Order::Start { task, attempt, until, .. } => {
                 Some(self.start(&task, attempt, until, spec, now))
             }
-            Order::Stop { .. } if self.sullen => {
+            Order::Stop { .. } if self.refuses_stops => {
                 Some(Outcome::Refused(Reason::Unhealthy, Some(clock)))
             }
             Order::Stop { task, attempt } => {
@@ -204,8 +213,8 @@
         let need = Room { cpu: spec % 100_000, memory: 64, accelerators: 0 };
         let taken = self.runs.values().map(|run| run.need).fold(Room::default(), Room::plus);
         if !need.plus(taken).fits(&self.room) {
-            self.excess += 1;
-            if self.guards {
+            self.oversized_starts += 1;
+            if self.enforces_room {
                 return Outcome::Refused(Reason::Room, Some(clock));
             }
             self.overcommits += u32::from(now >= self.resized + RESIZE_GRACE);
--- a/crates/link/src/caller.rs
+++ b/crates/link/src/caller.rs
@@ -9,8 +9,8 @@
 
 /// Maximum size of a response body in bytes.
 const MAX_BODY: usize = 4 << 20;
-/// Timeout for connecting. Neither of the two opening packets may be lost within an availability
-/// zone.
+/// Timeout for connecting within an availability zone. It leaves no time to retransmit either of
+/// the two opening packets.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(200);
 /// An idle connection is not reused after this time, because the other side may have closed it.
 const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
@@ -52,9 +52,9 @@
     Lost,
 }
 
-/// HTTP method of most calls.
+/// The HTTP method `POST`, which most calls use.
 pub const POST: hyper::Method = hyper::Method::POST;
-/// HTTP method of idempotent calls.
+/// The HTTP method `PUT`, for idempotent calls.
 pub const PUT: hyper::Method = hyper::Method::PUT;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
--- a/crates/link/src/gate.rs
+++ b/crates/link/src/gate.rs
@@ -19,13 +19,13 @@
 
 #[derive(Clone, Copy, Debug)]
 struct CallState {
-    lease: Option<time::Instant>,
+    lease_end: Option<time::Instant>,
     written: bool,
     blocked: bool,
 }
 
 impl CallState {
-    const NONE: Self = Self { lease: None, written: false, blocked: false };
+    const NONE: Self = Self { lease_end: None, written: false, blocked: false };
 }
 
 /// How much of a request was written.
@@ -39,12 +39,13 @@
     Part,
 }
 
-/// Runs `call` under a lease. Returns its result and how much of the request was written.
+/// Runs `call` under a lease that ends at `lease_end`. Returns its result and how much of the
+/// request was written.
 pub(crate) fn with_lease<T>(
-    lease: Option<time::Instant>,
+    lease_end: Option<time::Instant>,
     call: impl FnOnce() -> T,
 ) -> (T, Written) {
-    CURRENT.set(CallState { lease, ..CallState::NONE });
+    CURRENT.set(CallState { lease_end, ..CallState::NONE });
     let result = call();
     let written = match CURRENT.replace(CallState::NONE) {
         CallState { blocked: false, .. } => Written::All,
@@ -57,7 +58,7 @@
 /// Checks the lease before a write of the current request; returns false if it has expired.
 fn allow_write() -> bool {
     let current = CURRENT.get();
-    let blocked = current.lease.is_some_and(|lease| time::Instant::now() >= lease);
+    let blocked = current.lease_end.is_some_and(|end| time::Instant::now() >= end);
     CURRENT.set(CallState { written: current.written || !blocked, blocked, ..current });
     !blocked
 }
--- a/crates/link/src/http.rs
+++ b/crates/link/src/http.rs
@@ -167,7 +167,7 @@
     fn handle(&self, request: Request, responder: Responder);
 
     /// Returns the response to a request that could not be received in full.
-    fn fault(&self, error: RequestError) -> Response;
+    fn reject(&self, error: RequestError) -> Response;
 }
 
 /// A listener that accepts connections until it is closed.
@@ -292,8 +292,8 @@
     let reading = tokio::time::timeout(BODY_TIMEOUT, read_body(body, &shared.body_permits));
     let body = match reading.await {
         Ok(Ok(body)) => body,
-        Ok(Err(error)) => return encode(shared.handler.fault(error), true),
-        Err(_) => return encode(shared.handler.fault(RequestError::TooSlow), true),
+        Ok(Err(error)) => return encode(shared.handler.reject(error), true),
+        Err(_) => return encode(shared.handler.reject(RequestError::TooSlow), true),
     };
     let path = head.uri.path().to_owned();
     let request = Request { method: head.method, path, headers: head.headers, body };
--- a/crates/link/src/metric.rs
+++ b/crates/link/src/metric.rs
@@ -29,7 +29,7 @@
     replies: Histogram<f64>,
     disk_syncs: Histogram<f64>,
     config_reads: Histogram<f64>,
-    dropped_lines: Counter<u64>,
+    omitted_lines: Counter<u64>,
 }
 
 static METRICS: sync::OnceLock<Metrics> = sync::OnceLock::new();
@@ -76,7 +76,7 @@
             replies: seconds("reply_seconds"),
             disk_syncs: seconds("disk_sync_seconds"),
             config_reads: seconds("settings_read_seconds"),
-            dropped_lines: meter.u64_counter("log_lines_left_out").build(),
+            omitted_lines: meter.u64_counter("log_lines_left_out").build(),
             registry,
             provider,
         })
@@ -130,9 +130,9 @@
 }
 
 /// Counts a rejected announcement of an upstream, by the reason for the rejection.
-pub fn count_refused_announcement(what: &'static str) {
+pub fn count_refused_announcement(reason: &'static str) {
     if let Some(metrics) = metrics() {
-        metrics.refused_announcements.add(1, &[KeyValue::new("what", what)]);
+        metrics.refused_announcements.add(1, &[KeyValue::new("what", reason)]);
     }
 }
 
@@ -152,21 +152,21 @@
 }
 
 /// Records how long a task waited between the arrival of its job and its own start.
-pub fn record_start(waited: time::Duration) {
+pub fn record_start_wait(waited: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.start_waits.record(waited.as_secs_f64(), &[]);
     }
 }
 
 /// Records the time from a job's arrival until the first of its tasks was started.
-pub fn record_first_start(waited: time::Duration) {
+pub fn record_first_wait(waited: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.first_waits.record(waited.as_secs_f64(), &[]);
     }
 }
 
-/// Records how long room on an upstream was unused while the task that was then started there was
-/// already waiting.
+/// Records how long capacity on an upstream was unused while the task that was then started there
+/// was already waiting.
 pub fn record_idle_room(idle: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.idle_rooms.record(idle.as_secs_f64(), &[]);
@@ -175,13 +175,13 @@
 
 /// Records the duration of one part of a task: the order to start it, its work, or the report of
 /// its end.
-pub fn record_part(part: &'static str, took: time::Duration) {
+pub fn record_task_part(part: &'static str, took: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.task_parts.record(took.as_secs_f64(), &[KeyValue::new("part", part)]);
     }
 }
 
-/// Records the age of the report of a zone's free room that was used to hand tasks to the zone.
+/// Records the age of the report of a zone's free capacity that was used to hand tasks to the zone.
 pub fn record_load_age(age: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.load_ages.record(age.as_secs_f64(), &[]);
@@ -197,22 +197,22 @@
 }
 
 /// Records the duration of a synced write to the disk.
-pub fn record_sync(took: time::Duration) {
+pub fn record_disk_sync(took: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.disk_syncs.record(took.as_secs_f64(), &[]);
     }
 }
 
 /// Records the time to read and check a configuration before it took effect.
-pub fn record_read(took: time::Duration) {
+pub fn record_config_read(took: time::Duration) {
     if let Some(metrics) = metrics() {
         metrics.config_reads.record(took.as_secs_f64(), &[]);
     }
 }
 
-/// Counts a log line that was left out to limit the log rate, by its message.
-pub fn count_dropped_line(kind: &'static str) {
+/// Counts a log line that the rate limit omitted, by its message.
+pub fn count_omitted_line(kind: &'static str) {
     if let Some(metrics) = metrics() {
-        metrics.dropped_lines.add(1, &[KeyValue::new("kind", kind)]);
+        metrics.omitted_lines.add(1, &[KeyValue::new("kind", kind)]);
     }
 }
--- a/crates/link/src/peer.rs
+++ b/crates/link/src/peer.rs
@@ -103,9 +103,9 @@
         .keep_alive_timeout(PING_TIMEOUT);
     let mut failures = 0;
     while !queue.is_closed() {
-        let quick = failures < QUICK_ATTEMPTS;
-        let timeout = if quick { QUICK_TIMEOUT } else { SLOW_TIMEOUT };
-        let mut pause = if quick { QUICK_PAUSE } else { SLOW_PAUSE };
+        let is_quick = failures < QUICK_ATTEMPTS;
+        let timeout = if is_quick { QUICK_TIMEOUT } else { SLOW_TIMEOUT };
+        let mut pause = if is_quick { QUICK_PAUSE } else { SLOW_PAUSE };
         if let Ok(channel) = endpoint.clone().connect_timeout(timeout).connect().await {
             run_stream(channel, &me, &to, &mut queue).await;
             failures = 0;
@@ -209,7 +209,7 @@
 }
 
 impl Service {
-    fn check(&self, hello: Option<peer::Hello>) -> Result<name::Name, tonic::Status> {
+    fn check_hello(&self, hello: Option<peer::Hello>) -> Result<name::Name, tonic::Status> {
         let hello = hello.ok_or_else(|| tonic::Status::invalid_argument("no hello"))?;
         if hello.version != proto::VERSION {
             metric::count_message("refused_version", 0);
@@ -239,7 +239,7 @@
     ) -> Result<tonic::Response<peer::Closed>, tonic::Status> {
         let mut stream = request.into_inner();
         let first = stream.message().await?.unwrap_or_default();
-        let from = self.check(first.hello)?;
+        let from = self.check_hello(first.hello)?;
         let mut bodies = first.bodies;
         loop {
             for body in bodies {
--- a/crates/link/src/task.rs
+++ b/crates/link/src/task.rs
@@ -12,7 +12,7 @@
 /// Timeout for connecting to an upstream.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 /// A call is aborted this long after its deadline. The caller has given up on the task by then.
-const GRACE: time::Duration = time::Duration::from_millis(200);
+const ABORT_DELAY: time::Duration = time::Duration::from_millis(200);
 /// Timeout of the call that stops a task.
 const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
@@ -32,7 +32,7 @@
     /// End of the lease under which the task may be started, or `None` if it needs no lease.
     pub lease: Option<time::Instant>,
     /// Trace context of the call.
-    pub span: trace::Context,
+    pub context: trace::Context,
 }
 
 /// Result of a call.
@@ -52,17 +52,17 @@
 
 /// An HTTP client for upstreams with a pool of connections.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct Client {
     agent: ureq::Agent,
 }
 
-impl Default for Caller {
+impl Default for Client {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Caller {
+impl Client {
     /// Creates a client without open connections.
     pub fn new() -> Self {
         const MAX_PER_HOST: usize = 64;
@@ -87,10 +87,10 @@
             .post(format!("http://{}/v1/tasks", task.address))
             .header("Task-Id", &task.id)
             .header("Deadline-Ms", task.timeout.as_millis().to_string())
-            .header("traceparent", task.span.to_string())
+            .header("traceparent", task.context.to_string())
             .header("Content-Type", &task.content_type)
             .config()
-            .timeout_global(Some(task.timeout + GRACE))
+            .timeout_global(Some(task.timeout + ABORT_DELAY))
             .build();
         let (result, written) = gate::with_lease(task.lease, || request.send(task.body.as_ref()));
         match result {
--- a/crates/link/tests/lease.rs
+++ b/crates/link/tests/lease.rs
@@ -43,14 +43,14 @@
         content_type: "text/plain".to_owned(),
         timeout: time::Duration::from_secs(5),
         lease,
-        span: trace::Context::new(),
+        context: trace::Context::new(),
     }
 }
 
 #[test]
 fn over_midway() {
     let (address, upstream) = upstream(READ_DELAY);
-    let end = task::Caller::new().start(&task(address, Some(READ_DELAY / 2)));
+    let end = task::Client::new().start(&task(address, Some(READ_DELAY / 2)));
     assert!(
         matches!(end, task::End::Failed(_)),
         "the request may have reached the upstream: {end:?}"
@@ -62,7 +62,7 @@
 #[test]
 fn over_before() {
     let (address, upstream) = upstream(0);
-    let end = task::Caller::new().start(&task(address, Some(0)));
+    let end = task::Client::new().start(&task(address, Some(0)));
     assert_eq!(upstream.join().unwrap(), 0, "{end:?}");
     assert!(matches!(end, task::End::Unsent), "{end:?}");
 }
@@ -71,7 +71,7 @@
 fn in_time() {
     for lease in [None, Some(5_000)] {
         let (address, upstream) = upstream(READ_DELAY);
-        let end = task::Caller::new().start(&task(address, lease));
+        let end = task::Client::new().start(&task(address, lease));
         assert!(matches!(end, task::End::Answer(..)), "{end:?}");
         assert!(upstream.join().unwrap() > BODY);
     }
--- a/crates/link/tests/listener.rs
+++ b/crates/link/tests/listener.rs
@@ -27,7 +27,7 @@
         responder.send(http::Response::text(200, "ok"));
     }
 
-    fn fault(&self, _: http::RequestError) -> http::Response {
+    fn reject(&self, _: http::RequestError) -> http::Response {
         http::Response::text(400, "fault")
     }
 }
