--- a/crates/apricotroute/benches/trials.rs
+++ b/crates/apricotroute/benches/trials.rs
@@ -7,16 +7,20 @@
 
 use std::{fs, process, thread, time};
 
-use harness::{Cluster, Plan, SERVICE, eventually, job, new_job_id, sleep_ms, upstream::Process};
+use harness::{
+    Cluster, ClusterConfig, SERVICE, eventually, job, new_job_id, sleep_ms, upstream::Process,
+};
 use serde_json::{Value, json};
 
-/// Number of upstreams in a trial, and number of slots of each upstream.
+/// Number of upstreams in a trial.
 const UPSTREAMS: u32 = 12;
+/// Number of slots of each upstream.
 const SLOTS: u32 = 8;
-/// Service time of a task. One task in a hundred takes ten times as long, which makes the mean 1.09
-/// times the service time.
+/// Service time of most tasks.
 const SERVICE_MS: f64 = 50.0;
+/// One task in this many takes ten times the service time.
 const TAIL: u32 = 100;
+/// Mean service time: the slow hundredth of the tasks makes it 1.09 times the service time.
 const MEAN_MS: f64 = SERVICE_MS * 1.09;
 /// Mean number of tasks per job; a job has 1 to 8 tasks.
 const MEAN_TASKS: f64 = 4.5;
@@ -59,16 +63,16 @@
 impl Run {
     /// Starts `instances` instances, with the trial settings `trial`, and the upstreams.
     fn new(instances: usize, trial: &Value, options: &[&str]) -> Self {
-        Self::with_plan(
-            Plan::new(instances).with_extra(json!({"trial": trial, "log": {}})),
+        Self::with_config(
+            ClusterConfig::new(instances).with_extra(json!({"trial": trial, "log": {}})),
             options,
         )
     }
 
-    /// Starts the instances of `plan` and the upstreams. `options` holds command-line options of
+    /// Starts the instances of `config` and the upstreams. `options` holds command-line options of
     /// the upstreams; they replace the defaults.
-    fn with_plan(plan: Plan, options: &[&str]) -> Self {
-        let cluster = plan.start();
+    fn with_config(config: ClusterConfig, options: &[&str]) -> Self {
+        let cluster = config.start();
         cluster.create_service();
         let (count, slots) = (UPSTREAMS.to_string(), SLOTS.to_string());
         let (time, tail) = (SERVICE_MS.to_string(), TAIL.to_string());
@@ -80,8 +84,8 @@
                 arguments.extend([key, value]);
             }
         }
-        let all: Vec<_> = (0..cluster.nodes.len()).collect();
-        let upstreams = vec![cluster.upstream("u", "west", &all, &arguments)];
+        let all: Vec<_> = (0..cluster.instances.len()).collect();
+        let upstreams = vec![cluster.start_upstream("u", "west", &all, &arguments)];
         cluster.wait_upstreams("west", UPSTREAMS as usize);
         Self { cluster, upstreams }
     }
@@ -91,11 +95,12 @@
         let list = |address: &dyn Fn(usize) -> String, at: &[usize]| {
             at.iter().map(|at| address(*at)).collect::<Vec<_>>().join(",")
         };
-        let nodes = &self.cluster.nodes;
-        let running: Vec<_> = (0..nodes.len()).filter(|at| nodes[*at].child.is_some()).collect();
+        let instances = &self.cluster.instances;
+        let running: Vec<_> =
+            (0..instances.len()).filter(|at| instances[*at].child.is_some()).collect();
         let output = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
-            .args(["load", "--to", &list(&|at| nodes[at].client.to_string(), to)])
-            .args(["--operator", &list(&|at| nodes[at].operator.to_string(), &running)])
+            .args(["load", "--to", &list(&|at| instances[at].client.to_string(), to)])
+            .args(["--operator", &list(&|at| instances[at].operator.to_string(), &running)])
             .args(["--rate", &rate.to_string(), "--seconds", &seconds.to_string()])
             .args(if options.contains(&"--ideal-ms") {
                 &[] as &[&str]
@@ -110,9 +115,9 @@
         })
     }
 
-    /// Returns the indexes of all instances.
+    /// Returns the indices of all instances.
     fn all(&self) -> Vec<usize> {
-        (0..self.cluster.nodes.len()).collect()
+        (0..self.cluster.instances.len()).collect()
     }
 }
 
@@ -149,7 +154,7 @@
     println!("|---|---|---|---|---|---|---|---|---|");
 }
 
-/// Returns the trial settings of the product: no overrides.
+/// Returns empty trial settings, which leave all defaults of the product in force.
 fn defaults() -> Value {
     json!({})
 }
@@ -168,7 +173,7 @@
 
 /// Returns the numbers of messages and bytes that an instance has sent to its peers.
 fn peer_traffic(cluster: &Cluster, at: usize) -> (f64, f64) {
-    let url = format!("http://{}/metrics", cluster.nodes[at].operator);
+    let url = format!("http://{}/metrics", cluster.instances[at].operator);
     let text = ureq::get(url).call().unwrap().into_body().read_to_string().unwrap();
     let sum = |name: &str| -> f64 {
         let lines = text.lines().filter(|line| line.starts_with(name));
@@ -190,20 +195,22 @@
     let cases =
         [(one, 0, 1), (one, 12, 1), (one, 48, 1), (one, 0, 200), (two, 0, 1), (three, 0, 1)];
     for (zones, upstreams, services) in cases {
-        let cluster = Plan::with_zones(zones).with_extra(json!({"log": {}})).start();
+        let cluster = ClusterConfig::with_zones(zones).with_extra(json!({"log": {}})).start();
         cluster.create_service();
         for number in 1..services {
-            let (status, _) = cluster.set(0, &format!("s{number}"), &json!({"values": {}}));
+            let (status, _) =
+                cluster.change_settings(0, &format!("s{number}"), &json!({"values": {}}));
             assert_eq!(status, 200);
         }
         let count = upstreams.to_string();
         let _upstreams = (upstreams > 0).then(|| {
-            let process = cluster.upstream("u", "west", &[0, 1, 2], &["--count", &count]);
+            let process = cluster.start_upstream("u", "west", &[0, 1, 2], &["--count", &count]);
             cluster.wait_upstreams("west", upstreams);
             process
         });
         sleep_ms(2_000);
-        let pids: Vec<_> = cluster.nodes.iter().map(|n| n.child.as_ref().unwrap().id()).collect();
+        let pids: Vec<_> =
+            cluster.instances.iter().map(|n| n.child.as_ref().unwrap().id()).collect();
         let all: Vec<_> = (0..pids.len()).collect();
         let before: Vec<_> =
             all.iter().map(|at| (usage(pids[*at]), peer_traffic(&cluster, *at))).collect();
@@ -240,7 +247,8 @@
 fn memory() {
     println!("| jobs of one task | remembered | memory MB of each instance |\n|---|---|---|");
     let run = Run::new(3, &defaults(), &["--tail", "0", "--service-ms", "5"]);
-    let pids: Vec<_> = run.cluster.nodes.iter().map(|n| n.child.as_ref().unwrap().id()).collect();
+    let pids: Vec<_> =
+        run.cluster.instances.iter().map(|n| n.child.as_ref().unwrap().id()).collect();
     for seconds in [1, 10, 10, 10] {
         let report = run.load(&run.all(), 1_000.0, seconds, &["--ideal-ms", "5"]);
         let resident: Vec<_> = pids.iter().map(|pid| format!("{:.1}", usage(*pid).1)).collect();
@@ -300,7 +308,8 @@
         let jobs = run.load(&all, 5.0, 4, &["--tasks", "20", "--seed", seed]);
         row(&format!("per job (jobs of 20), seed {seed}"), &jobs);
     }
-    let (_, body) = run.cluster.set(0, SERVICE, &json!({"values": {"answer_copies": 0}}));
+    let (_, body) =
+        run.cluster.change_settings(0, SERVICE, &json!({"values": {"answer_copies": 0}}));
     run.cluster.wait_version(body["version"].as_u64().unwrap());
     for seed in ["1", "2", "3"] {
         let jobs = run.load(&all, 100.0, 4, &["--seed", seed]);
@@ -309,7 +318,7 @@
     let mut times: Vec<_> = (0..100)
         .map(|_| {
             let start = time::Instant::now();
-            assert_eq!(run.cluster.set(0, "synced", &json!({"values": {}})).0, 200);
+            assert_eq!(run.cluster.change_settings(0, "synced", &json!({"values": {}})).0, 200);
             start.elapsed().as_secs_f64() * 1_000.0
         })
         .collect();
@@ -346,14 +355,16 @@
         let settings = run.cluster.leader("settings").unwrap();
         run.cluster.kill(settings);
         let start = time::Instant::now();
-        let changed = || run.cluster.set((settings + 1) % 3, "a", &json!({"values": {}})).0 == 200;
+        let changed = || {
+            run.cluster.change_settings((settings + 1) % 3, "a", &json!({"values": {}})).0 == 200
+        };
         assert!(eventually(20_000, changed));
         let settings_ms = start.elapsed().as_millis();
         run.cluster.start(settings);
         run.cluster.wait_ready();
-        run.cluster.isolate(&[0], true);
+        run.cluster.set_isolated(&[0], true);
         sleep_ms(5_000);
-        run.cluster.isolate(&[0], false);
+        run.cluster.set_isolated(&[0], false);
         let healed_ms = accept_ms(&run.cluster, 0);
         rows.push((journal_ms, follower_ms, settings_ms, healed_ms));
     }
@@ -368,15 +379,15 @@
 
 /// Time until a settings change is in force on all of nine instances.
 fn settings() {
-    let plan = Plan::with_zones(&[("west", 3), ("mid", 3), ("east", 3)]);
-    let run = Run::with_plan(plan.with_extra(json!({"log": {}})), &[]);
+    let config = ClusterConfig::with_zones(&[("west", 3), ("mid", 3), ("east", 3)]);
+    let run = Run::with_config(config.with_extra(json!({"log": {}})), &[]);
     let measure = |label: &str| {
         let mut times: Vec<_> = (0..60)
             .map(|number| {
                 let start = time::Instant::now();
                 let at = number % 9;
                 let (status, body) =
-                    run.cluster.set(at, "a", &json!({"values": {"max_queue": number}}));
+                    run.cluster.change_settings(at, "a", &json!({"values": {"max_queue": number}}));
                 assert_eq!(status, 200, "{body}");
                 run.cluster.wait_version(body["version"].as_u64().unwrap());
                 start.elapsed().as_secs_f64() * 1_000.0
@@ -405,9 +416,9 @@
     ];
     for (label, trial) in &cases {
         let run = Run::new(3, trial, &[]);
-        for share in [0.3, 0.6, 0.8, 0.95] {
-            let report = run.load(&run.all(), rate(share), 6, JOBS);
-            row(&format!("{label}, {:.0}%", share * 100.0), &report);
+        for utilization in [0.3, 0.6, 0.8, 0.95] {
+            let report = run.load(&run.all(), rate(utilization), 6, JOBS);
+            row(&format!("{label}, {:.0}%", utilization * 100.0), &report);
         }
     }
 }
@@ -499,14 +510,14 @@
     for (label, trial) in [("no ejection", json!({"eject": false})), ("ejection", defaults())] {
         let run = Run::new(3, &trial, &[]);
         let options = ["--count", "3", "--slots", "8", "--service-ms", "50", "--tail", "100"];
-        let mut killed = run.cluster.upstream("v", "west", &[0, 1, 2], &options);
+        let mut killed = run.cluster.start_upstream("v", "west", &[0, 1, 2], &options);
         run.cluster.wait_upstreams("west", UPSTREAMS as usize + 3);
         thread::scope(|scope| {
             let load = scope.spawn(|| run.load(&run.all(), rate(0.6), 12, JOBS));
             sleep_ms(3_000);
             killed.child.kill().unwrap();
             sleep_ms(3_000);
-            let _restarted = run.cluster.upstream("v", "west", &[0, 1, 2], &options);
+            let _restarted = run.cluster.start_upstream("v", "west", &[0, 1, 2], &options);
             row(label, &load.join().unwrap());
         });
     }
@@ -542,22 +553,22 @@
         let options =
             [JOBS, &["--deadline-ms", "3000", "--teams", teams, "--flood", flood]].concat();
         let report = run.load(&run.all(), rate(1.2), 10, &options);
-        let of = |team: &str, key: &str| {
+        let percentile = |team: &str, key: &str| {
             let teams = &report["teams_over_ideal_ms"];
             let value = if teams[team].is_null() { &report["over_ideal_ms"] } else { &teams[team] };
             value[key].as_f64().unwrap_or(f64::NAN)
         };
-        let quiet = |key: &str| {
-            let all: Vec<_> = (1..10).map(|team| of(&format!("t{team}"), key)).collect();
+        let mean_of_others = |key: &str| {
+            let all: Vec<_> = (1..10).map(|team| percentile(&format!("t{team}"), key)).collect();
             all.iter().sum::<f64>() / all.len() as f64
         };
         println!(
             "| {label} | {} | {:.1} | {:.1} | {:.1} | {:.1} |",
             report["useful_tasks"],
-            of("t0", "p50"),
-            of("t0", "p99"),
-            quiet("p50"),
-            quiet("p99")
+            percentile("t0", "p50"),
+            percentile("t0", "p99"),
+            mean_of_others("p50"),
+            mean_of_others("p99")
         );
     }
 }
--- a/crates/apricotroute/tests/addresses.rs
+++ b/crates/apricotroute/tests/addresses.rs
@@ -49,9 +49,9 @@
 
 #[test]
 fn systems_apart() {
-    // Two parallel runs of one test have the same plan and therefore the same `subnet`.
-    let plan = || system::Plan { subnet: 120, zones: vec![(1, 1)], relays: false };
-    let (one, other) = (system::System::new(plan()), system::System::new(plan()));
+    // Two parallel runs of one test have the same layout and therefore the same `subnet`.
+    let layout = || system::Layout { subnet: 120, zones: vec![(1, 1)], has_relays: false };
+    let (one, other) = (system::System::new(layout()), system::System::new(layout()));
     for at in 0..2 {
         assert_ne!(one.client(at), other.client(at));
         assert_ne!(one.operator(at), other.operator(at));
--- a/crates/apricotroute/tests/bad_input.rs
+++ b/crates/apricotroute/tests/bad_input.rs
@@ -8,13 +8,13 @@
     net, thread, time,
 };
 
-use harness::{Cluster, Plan, SERVICE, eventually, get, job, new_job_id, post, put};
+use harness::{Cluster, ClusterConfig, SERVICE, eventually, get, job, new_job_id, post, put};
 use serde_json::{Value, json};
 
 fn cluster() -> (Cluster, harness::upstream::Process) {
-    let cluster = Plan::new(1).start();
+    let cluster = ClusterConfig::new(1).start();
     cluster.create_service();
-    let upstream = cluster.upstream("u1", "west", &[0], &["--service-ms", "10"]);
+    let upstream = cluster.start_upstream("u1", "west", &[0], &["--service-ms", "10"]);
     cluster.wait_upstreams("west", 1);
     (cluster, upstream)
 }
@@ -26,15 +26,15 @@
     stream.set_read_timeout(Some(time::Duration::from_secs(15))).unwrap();
     // The peer may reject the request before it has read all bytes.
     drop(stream.write_all(bytes));
-    let mut answer = vec![0; 4096];
-    let count = stream.read(&mut answer).unwrap_or(0);
-    String::from_utf8_lossy(&answer[..count]).into_owned()
+    let mut response = vec![0; 4096];
+    let count = stream.read(&mut response).unwrap_or(0);
+    String::from_utf8_lossy(&response[..count]).into_owned()
 }
 
 #[test]
 fn bad_jobs() {
     let (cluster, upstream) = cluster();
-    let to = cluster.nodes[0].client;
+    let to = cluster.instances[0].client;
     let id = || new_job_id("west");
     let job_with = |change: &dyn Fn(&mut Value)| {
         let mut spec = job(&new_job_id("west"), 1, 1_000);
@@ -74,10 +74,10 @@
 
 #[test]
 fn impossible_needs() {
-    let cluster = Plan::new(1).start();
+    let cluster = ClusterConfig::new(1).start();
     cluster.create_service();
     let room = ["--cores", "2", "--memory-mb", "512"];
-    let _upstream = cluster.upstream("u1", "west", &[0], &room);
+    let _upstream = cluster.start_upstream("u1", "west", &[0], &room);
     cluster.wait_upstreams("west", 1);
     let mut spec = job(&new_job_id("west"), 1, 1_000);
     spec["needs"] = json!({"cores": 2, "memory_mb": 100});
@@ -91,7 +91,7 @@
 #[test]
 fn bad_bytes() {
     let (cluster, _upstream) = cluster();
-    let to = cluster.nodes[0].client;
+    let to = cluster.instances[0].client;
     let head = |fields: &str| format!("POST /v1/jobs HTTP/1.1\r\nHost: x\r\n{fields}\r\n");
     let answer =
         send_raw(to, head("Content-Length: 9\r\nContent-Type: application/json\r\n").as_bytes());
@@ -122,7 +122,7 @@
 fn half_bodies() {
     const CLIENTS: usize = 200;
     let (cluster, _upstream) = cluster();
-    let to = cluster.nodes[0].client;
+    let to = cluster.instances[0].client;
     let partial =
         b"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 500000\r\n\r\n{\"job\": \"west-";
     let mut open = Vec::new();
@@ -141,7 +141,7 @@
 #[test]
 fn bad_requests() {
     let (cluster, _upstream) = cluster();
-    let to = cluster.nodes[0].client;
+    let to = cluster.instances[0].client;
     let url = format!("http://{to}/v1/requests/{SERVICE}");
     let cases = [
         ("Idempotent", "perhaps"),
@@ -165,7 +165,7 @@
 #[test]
 fn bad_announcements() {
     let (cluster, _upstream) = cluster();
-    let to = cluster.nodes[0].client;
+    let to = cluster.instances[0].client;
     let good = json!({"upstream": "u9", "service": SERVICE, "availability_zone": "west",
                       "address": "127.0.0.1:9", "slots": 1});
     let cases = [
@@ -192,7 +192,7 @@
 #[test]
 fn bad_settings() {
     let (cluster, _upstream) = cluster();
-    let to = cluster.nodes[0].operator;
+    let to = cluster.instances[0].operator;
     let set = |values: Value| put(to, "/v1/settings/ireland", &json!({"values": values}));
     let (status, body) =
         set(json!({"max_queue": -1, "color": 3, "retry_budget": 2, "cross_zone": 1}));
@@ -231,7 +231,7 @@
 #[test]
 fn bad_peers() {
     let (cluster, _upstream) = cluster();
-    let text = std::fs::read_to_string(&cluster.nodes[0].settings).unwrap();
+    let text = std::fs::read_to_string(&cluster.instances[0].boot_file).unwrap();
     let boot: Value = serde_json::from_str(&text).unwrap();
     let peer: net::SocketAddr = boot["peer_address"].as_str().unwrap().parse().unwrap();
     let threads: Vec<_> = (0..8)
--- a/crates/apricotroute/tests/beats.rs
+++ b/crates/apricotroute/tests/beats.rs
@@ -13,7 +13,7 @@
 };
 
 use serde_json::{Value, json};
-use system::{System, agent, config, eventually};
+use system::{System, agent, config, wait_until};
 
 const KEEPERS: usize = 3;
 /// Number of invalid heartbeats that the test sends in quick succession.
@@ -22,12 +22,12 @@
 const LINE_RATE: usize = 400;
 
 fn system(subnet: u8) -> System {
-    let plan = system::Plan { subnet, zones: vec![(KEEPERS, 1)], relays: false };
-    let mut system = System::new(plan);
+    let layout = system::Layout { subnet, zones: vec![(KEEPERS, 1)], has_relays: false };
+    let mut system = System::new(layout);
     system.add_upstream("i-0", 0, None);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
-    eventually("the upstream accepts work", || {
+    wait_until("the upstream accepts work", || {
         system.submit(KEEPERS, "00000000000000f0", 1).0 == 200
     });
     system
@@ -143,10 +143,10 @@
     change["Routes"] = json!([]);
     change["Services"] = json!([]);
     assert_eq!(system.publish(0, &change), 200, "{}", system.log(0));
-    eventually("the configuration is in force", || system.read_config(1).1["Version"] == 4);
+    wait_until("the configuration is in force", || system.read_config(1).1["Version"] == 4);
     let mut leaving = heartbeat(&system);
     leaving["State"] = "draining".into();
-    eventually("the leave is acknowledged", || {
+    wait_until("the leave is acknowledged", || {
         send(&system, 0, "i-0", leaving.to_string().as_bytes()) == 200
     });
     let mut other = leaving.clone();
@@ -184,5 +184,5 @@
     let lines = system.log(0).matches("Announcement refused").count();
     assert!(lines <= LINE_RATE * seconds, "{lines} log lines in {seconds} s");
     let counted = || system.metric(0, "announcements_refused_total", &[]) == Some(BURST as f64);
-    eventually("all refusals are counted", counted);
+    wait_until("all refusals are counted", counted);
 }
--- a/crates/apricotroute/tests/command_line.rs
+++ b/crates/apricotroute/tests/command_line.rs
@@ -4,7 +4,7 @@
 
 use std::{fs, process};
 
-use harness::{Plan, SERVICE, job, new_job_id};
+use harness::{ClusterConfig, SERVICE, job, new_job_id};
 use serde_json::Value;
 
 fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
@@ -67,7 +67,7 @@
     fs::write(&file, "{\n\"role\": \"entry\",\n\"seeds\": [7],\n\"colour\": 1\n}").unwrap();
     let (code, _, err) = run(&["check", file.to_str().unwrap()]);
     assert_eq!(code, Some(2));
-    for fault in [
+    for error in [
         "$.instance (line 1): missing",
         "$.availability_zone (line 1): missing",
         "$.client_address (line 1): missing",
@@ -76,7 +76,7 @@
         "$.seeds[0] (line 3): expected IP:PORT",
         "$.colour (line 4): unknown key",
     ] {
-        assert!(err.contains(fault), "{fault} in {err}");
+        assert!(err.contains(error), "{error} in {err}");
     }
 }
 
@@ -93,10 +93,10 @@
 
 #[test]
 fn operators_day() {
-    let cluster = Plan::new(1).start();
+    let cluster = ClusterConfig::new(1).start();
     let (client, operator) =
-        (cluster.nodes[0].client.to_string(), cluster.nodes[0].operator.to_string());
-    let settings = cluster.nodes[0].settings.to_str().unwrap();
+        (cluster.instances[0].client.to_string(), cluster.instances[0].operator.to_string());
+    let settings = cluster.instances[0].boot_file.to_str().unwrap();
     assert_eq!(run(&["check", settings]).0, Some(0));
     let (code, out, _) = run(&["settings", "--to", &operator, "set", SERVICE, "{}"]);
     assert_eq!((code, out.trim()), (Some(0), "{\"version\":1}"));
@@ -107,7 +107,7 @@
     assert!(code == Some(3) && out.contains("max_queue"), "{out}");
     let stale = ["settings", "--to", &operator, "set", SERVICE, "{}", "--base", "0"];
     assert_eq!(run(&stale).0, Some(3));
-    let _upstream = cluster.upstream("u1", "west", &[0], &[]);
+    let _upstream = cluster.start_upstream("u1", "west", &[0], &[]);
     cluster.wait_upstreams("west", 1);
 
     let id = new_job_id("west");
@@ -142,10 +142,10 @@
 fn explained() {
     // The job id and the client's `Request-Id` find the same lines, in any order of the files.
     let (entry, keepers) = (log_path("entry.log"), log_path("keepers.log"));
-    let (code, story, _) = run(&["explain", "ac38592eefa64e04", &entry, &keepers]);
+    let (code, explanation, _) = run(&["explain", "ac38592eefa64e04", &entry, &keepers]);
     assert_eq!(code, Some(0));
-    insta::assert_snapshot!(story);
-    assert_eq!(run(&["explain", "c12c5358b82cab6d", &keepers, &entry]).1, story);
+    insta::assert_snapshot!(explanation);
+    assert_eq!(run(&["explain", "c12c5358b82cab6d", &keepers, &entry]).1, explanation);
     // No log line refers to another request.
     let (code, out, _) = run(&["explain", "ac38", &entry, &keepers]);
     assert_eq!((code, out.as_str()), (Some(1), "no log line mentions this request\n"));
--- a/crates/apricotroute/tests/evacuations.rs
+++ b/crates/apricotroute/tests/evacuations.rs
@@ -1,26 +1,26 @@
-//! Tests with real processes that an operator can evacuate a zone and cancel the evacuation.
+//! Tests with real processes that an operator can evacuate a zone and revert the evacuation.
 
 mod system;
 
 use serde_json::json;
-use system::{System, agent, config, eventually};
+use system::{System, agent, config, wait_until};
 
 /// Number of instances in each of the two zones: two keepers and an entry.
 const ZONE_SIZE: usize = 3;
 
 fn system(subnet: u8) -> System {
     let mut system =
-        System::new(system::Plan { subnet, zones: vec![(2, 1), (2, 1)], relays: false });
+        System::new(system::Layout { subnet, zones: vec![(2, 1), (2, 1)], has_relays: false });
     for at in 0..4 {
         system.add_upstream(&format!("i-{at}"), at / 2, None);
     }
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     system
 }
 
 /// Sends a request for the evacuation of a zone to a keeper and returns the status.
-fn send_order(system: &System, at: usize, method: &str, zone: &str, body: &[u8]) -> u16 {
+fn send_request(system: &System, at: usize, method: &str, zone: &str, body: &[u8]) -> u16 {
     let url = format!("http://{}/apricotroute/evacuations/{zone}", system.operator(at));
     system::call(&agent(), method, &url, body).0
 }
@@ -35,10 +35,14 @@
 fn evacuated_and_taken_back() {
     let mut system = system(9);
     let west = system::zone_name(0);
-    eventually("the evacuation is acknowledged", || {
-        send_order(&system, ZONE_SIZE, "POST", &west, b"") == 200
+    wait_until("the evacuation is acknowledged", || {
+        send_request(&system, ZONE_SIZE, "POST", &west, b"") == 200
     });
-    assert_eq!(send_order(&system, 0, "POST", &west, b""), 200, "the same order at another keeper");
+    assert_eq!(
+        send_request(&system, 0, "POST", &west, b""),
+        200,
+        "the same request at another keeper"
+    );
     let before = starts(&system);
     for number in 0..6 {
         let id = format!("{:016x}", 0xe00 + number);
@@ -51,7 +55,7 @@
         "all tasks ran in the other zone"
     );
     let evacuated = |system: &System, at: usize| system.metric(at, "evacuated_zones", &[]);
-    eventually("the metrics report the evacuation", || {
+    wait_until("the metrics report the evacuation", || {
         (0..6).all(|at| evacuated(&system, at) == Some(1.0))
     });
 
@@ -60,17 +64,17 @@
         system.kill(at);
     }
     for at in [0, 1, ZONE_SIZE, ZONE_SIZE + 1] {
-        system.write_settings(at, false, &json!({}));
+        system.write_boot_file(at, false, &json!({}));
         system.start(at);
     }
     system.wait_ready();
-    eventually("the restarted keepers report the evacuation", || {
+    wait_until("the restarted keepers report the evacuation", || {
         evacuated(&system, 0) == Some(1.0)
     });
-    eventually("the evacuation is cancelled", || {
-        send_order(&system, 1, "DELETE", &west, b"") == 200
+    wait_until("the evacuation is reverted", || {
+        send_request(&system, 1, "DELETE", &west, b"") == 200
     });
-    eventually("the zone runs tasks again", || {
+    wait_until("the zone runs tasks again", || {
         let id = format!("{:016x}", 0xf00 + starts(&system)[1]);
         system.submit(ZONE_SIZE - 1, &id, 1);
         starts(&system)[0] > after[0]
@@ -81,17 +85,17 @@
 fn odd_orders() {
     let system = system(10);
     let west = system::zone_name(0);
-    assert_eq!(send_order(&system, 0, "POST", "nowhere", b""), 404);
-    assert_eq!(send_order(&system, 0, "DELETE", "nowhere", b""), 404);
+    assert_eq!(send_request(&system, 0, "POST", "nowhere", b""), 404);
+    assert_eq!(send_request(&system, 0, "DELETE", "nowhere", b""), 404);
     for path in ["", "%zz", "a/b", "a%00b", &"z".repeat(10_000)] {
-        let status = send_order(&system, 0, "POST", path, b"");
+        let status = send_request(&system, 0, "POST", path, b"");
         assert!((400..500).contains(&status), "{status} for a path of {} bytes", path.len());
     }
-    assert_eq!(send_order(&system, 0, "PUT", &west, b""), 405);
-    let large = send_order(&system, 0, "POST", &west, &vec![b'x'; 1 << 20]);
+    assert_eq!(send_request(&system, 0, "PUT", &west, b""), 405);
+    let large = send_request(&system, 0, "POST", &west, &vec![b'x'; 1 << 20]);
     assert!(large == 200 || large == 413, "{large}");
-    eventually("the evacuation is cancelled", || {
-        send_order(&system, 0, "DELETE", &west, b"") == 200
+    wait_until("the evacuation is reverted", || {
+        send_request(&system, 0, "DELETE", &west, b"") == 200
     });
     assert_eq!(system.submit(ZONE_SIZE - 1, "0000000000000e77", 2).0, 200);
 }
--- a/crates/apricotroute/tests/harness/mod.rs
+++ b/crates/apricotroute/tests/harness/mod.rs
@@ -15,12 +15,12 @@
 
 /// An instance that runs as a process.
 #[derive(Debug)]
-pub struct Node {
+pub struct Instance {
     pub name: String,
     pub zone: String,
     pub client: net::SocketAddr,
     pub operator: net::SocketAddr,
-    pub settings: path::PathBuf,
+    pub boot_file: path::PathBuf,
     pub folder: Option<path::PathBuf>,
     pub child: Option<process::Child>,
 }
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Cluster {
     pub dir: tempfile::TempDir,
-    pub nodes: Vec<Node>,
+    pub instances: Vec<Instance>,
     pub links: Vec<Link>,
 }
 
@@ -43,19 +43,19 @@
 
 /// Configuration of a test cluster.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClusterConfig {
     zones: Vec<(String, usize)>,
     disks: usize,
     extra: Value,
 }
 
-impl Plan {
-    /// Returns a plan of one zone with `count` instances, all with disks.
+impl ClusterConfig {
+    /// Returns a configuration of one zone with `count` instances, all with disks.
     pub fn new(count: usize) -> Self {
         Self { zones: vec![("west".to_owned(), count)], disks: count, extra: json!({}) }
     }
 
-    /// Returns a plan of several zones in which the first instance of each zone has a disk.
+    /// Returns a configuration of several zones, in which the first instance of each has a disk.
     pub fn with_zones(zones: &[(&str, usize)]) -> Self {
         let zones = zones.iter().map(|(zone, count)| ((*zone).to_owned(), *count)).collect();
         Self { zones, disks: 1, extra: json!({}) }
@@ -76,7 +76,7 @@
     /// Writes the bootstrap files and starts all instances.
     pub fn start(self) -> Cluster {
         let mut cluster = self.build();
-        for index in 0..cluster.nodes.len() {
+        for index in 0..cluster.instances.len() {
             cluster.start(index);
         }
         cluster.wait_ready();
@@ -85,7 +85,7 @@
 
     fn build(self) -> Cluster {
         let dir = tempfile::tempdir().unwrap();
-        let mut nodes = Vec::new();
+        let mut instances = Vec::new();
         let mut peers = Vec::new();
         for (zone, count) in &self.zones {
             for number in 1..=*count {
@@ -93,8 +93,8 @@
                 let folder =
                     (number <= self.disks).then(|| dir.path().join(format!("{name}.data")));
                 peers.push(free_address());
-                nodes.push(Node {
-                    settings: dir.path().join(format!("{name}.json")),
+                instances.push(Instance {
+                    boot_file: dir.path().join(format!("{name}.json")),
                     zone: zone.clone(),
                     client: free_address(),
                     operator: free_address(),
@@ -105,28 +105,28 @@
             }
         }
         let mut links = Vec::new();
-        for from in 0..nodes.len() {
-            for to in (0..nodes.len()).filter(|to| *to != from) {
+        for from in 0..instances.len() {
+            for to in (0..instances.len()).filter(|to| *to != from) {
                 links.push(Link { from, to, proxy: proxy::Proxy::start(peers[to]) });
             }
         }
-        let cluster = Cluster { dir, nodes, links };
+        let cluster = Cluster { dir, instances, links };
         for (index, address) in peers.iter().enumerate() {
-            cluster.write_settings(index, *address, &self.extra);
+            cluster.write_boot_file(index, *address, &self.extra);
         }
         cluster
     }
 }
 
 impl Cluster {
-    fn write_settings(&self, index: usize, peer: net::SocketAddr, extra: &Value) {
-        let node = &self.nodes[index];
+    fn write_boot_file(&self, index: usize, peer: net::SocketAddr, extra: &Value) {
+        let instance = &self.instances[index];
         let peers: Vec<_> = self
             .links
             .iter()
             .filter(|link| link.from == index)
             .map(|link| {
-                let other = &self.nodes[link.to];
+                let other = &self.instances[link.to];
                 json!({
                     "instance": other.name,
                     "availability_zone": other.zone,
@@ -136,41 +136,42 @@
             })
             .collect();
         let mut boot = json!({
-            "instance": node.name,
-            "availability_zone": node.zone,
-            "client_address": node.client.to_string(),
-            "operator_address": node.operator.to_string(),
+            "instance": instance.name,
+            "availability_zone": instance.zone,
+            "client_address": instance.client.to_string(),
+            "operator_address": instance.operator.to_string(),
             "peer_address": peer.to_string(),
             "peers": peers,
             "log": {"level": "info", "form": "json"},
-            "traces": {"file": self.dir.path().join(format!("{}.spans", node.name))},
+            "traces": {"file": self.dir.path().join(format!("{}.spans", instance.name))},
         });
         let map = boot.as_object_mut().unwrap();
-        if let Some(folder) = &node.folder {
+        if let Some(folder) = &instance.folder {
             map.insert("data_folder".to_owned(), json!(folder));
         }
         map.extend(extra.as_object().cloned().unwrap_or_default());
-        fs::write(&node.settings, boot.to_string()).unwrap();
+        fs::write(&instance.boot_file, boot.to_string()).unwrap();
     }
 
     /// Starts an instance.
     pub fn start(&mut self, index: usize) {
-        let log = self.dir.path().join(format!("{}.log", self.nodes[index].name));
+        let log = self.dir.path().join(format!("{}.log", self.instances[index].name));
         let log = fs::OpenOptions::new().create(true).append(true).open(log).unwrap();
         let child = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
             .args(["serve", "--settings"])
-            .arg(&self.nodes[index].settings)
+            .arg(&self.instances[index].boot_file)
             .stderr(log)
             .spawn()
             .unwrap();
-        self.nodes[index].child = Some(child);
+        self.instances[index].child = Some(child);
     }
 
     /// Waits until every running instance is ready.
     pub fn wait_ready(&self) {
-        for node in self.nodes.iter().filter(|node| node.child.is_some()) {
-            let ready = || get(node.operator, "/readyz").is_some_and(|(status, _)| status == 200);
-            assert!(eventually(20_000, ready), "{} is not ready: {}", node.name, self.report());
+        for instance in self.instances.iter().filter(|instance| instance.child.is_some()) {
+            let ready =
+                || get(instance.operator, "/readyz").is_some_and(|(status, _)| status == 200);
+            assert!(eventually(20_000, ready), "{} is not ready: {}", instance.name, self.report());
         }
     }
 
@@ -178,20 +179,20 @@
     /// that occurs only once cannot be traced.
     fn report(&self) -> String {
         const LINES: usize = 40;
-        let node_report = |node: &Node| {
-            let status = get(node.operator, "/v1/status").map(|(_, body)| body);
-            let log = fs::read_to_string(self.dir.path().join(format!("{}.log", node.name)));
+        let instance_report = |instance: &Instance| {
+            let status = get(instance.operator, "/v1/status").map(|(_, body)| body);
+            let log = fs::read_to_string(self.dir.path().join(format!("{}.log", instance.name)));
             let log = log.unwrap_or_else(|e| e.to_string());
             let lines: Vec<_> = log.lines().collect();
             let tail = lines[lines.len().saturating_sub(LINES)..].join("\n");
-            format!("\n== {}: {}\n{tail}", node.name, status.unwrap_or_default())
+            format!("\n== {}: {}\n{tail}", instance.name, status.unwrap_or_default())
         };
-        self.nodes.iter().map(node_report).collect()
+        self.instances.iter().map(instance_report).collect()
     }
 
     /// Kills an instance at once, without a graceful shutdown.
     pub fn kill(&mut self, index: usize) {
-        if let Some(mut child) = self.nodes[index].child.take() {
+        if let Some(mut child) = self.instances[index].child.take() {
             child.kill().unwrap();
             child.wait().unwrap();
         }
@@ -199,7 +200,7 @@
 
     /// Sends a signal to an instance.
     pub fn signal(&self, index: usize, signal: &str) {
-        let pid = self.nodes[index].child.as_ref().unwrap().id().to_string();
+        let pid = self.instances[index].child.as_ref().unwrap().id().to_string();
         let sent = process::Command::new("kill").args([signal, &pid]).status().unwrap();
         assert!(sent.success(), "kill {signal} {pid}");
     }
@@ -207,58 +208,58 @@
     /// Shuts an instance down gracefully and returns its exit code.
     pub fn terminate(&mut self, index: usize) -> Option<i32> {
         self.signal(index, "-TERM");
-        self.nodes[index].child.take().unwrap().wait().unwrap().code()
+        self.instances[index].child.take().unwrap().wait().unwrap().code()
     }
 
     /// Cuts or restores the links from one set of instances to another.
-    pub fn cut(&self, from: &[usize], to: &[usize], cut: bool) {
+    pub fn set_cut(&self, from: &[usize], to: &[usize], is_cut: bool) {
         for link in &self.links {
             if from.contains(&link.from) && to.contains(&link.to) {
-                link.proxy.cut(cut);
+                link.proxy.set_cut(is_cut);
             }
         }
     }
 
     /// Cuts or restores all links between one set of instances and all others, in both directions.
-    pub fn isolate(&self, inside: &[usize], cut: bool) {
+    pub fn set_isolated(&self, inside: &[usize], is_cut: bool) {
         let outside: Vec<_> =
-            (0..self.nodes.len()).filter(|index| !inside.contains(index)).collect();
-        self.cut(inside, &outside, cut);
-        self.cut(&outside, inside, cut);
+            (0..self.instances.len()).filter(|index| !inside.contains(index)).collect();
+        self.set_cut(inside, &outside, is_cut);
+        self.set_cut(&outside, inside, is_cut);
     }
 
     /// Sends a settings change to an instance.
-    pub fn set(&self, index: usize, path: &str, body: &Value) -> (u16, Value) {
-        put(self.nodes[index].operator, &format!("/v1/settings/{path}"), body)
+    pub fn change_settings(&self, index: usize, path: &str, body: &Value) -> (u16, Value) {
+        put(self.instances[index].operator, &format!("/v1/settings/{path}"), body)
     }
 
-    /// Creates the service that the tests use, and waits until every running instance knows it.
+    /// Creates the service that the tests use, and waits until every running instance has it.
     pub fn create_service(&self) {
-        let (status, body) = self.set(0, SERVICE, &json!({"values": {}}));
+        let (status, body) = self.change_settings(0, SERVICE, &json!({"values": {}}));
         assert_eq!(status, 200, "{body}");
         self.wait_version(body["version"].as_u64().unwrap());
     }
 
     /// Waits until every running instance has at least this version of the settings.
     pub fn wait_version(&self, version: u64) {
-        for node in self.nodes.iter().filter(|node| node.child.is_some()) {
-            let updated = || Self::version(node).is_some_and(|known| known >= version);
+        for instance in self.instances.iter().filter(|instance| instance.child.is_some()) {
+            let updated = || Self::settings_version(instance).is_some_and(|known| known >= version);
             assert!(
                 eventually(5_000, updated),
                 "{} has not reached settings version {version}",
-                node.name
+                instance.name
             );
         }
     }
 
     /// Returns the version of the settings at an instance.
-    pub fn version(node: &Node) -> Option<u64> {
-        get(node.operator, "/v1/settings/")?.1["version"].as_u64()
+    pub fn settings_version(instance: &Instance) -> Option<u64> {
+        get(instance.operator, "/v1/settings/")?.1["version"].as_u64()
     }
 
     /// Returns the status of an instance.
     pub fn status(&self, index: usize) -> Value {
-        get(self.nodes[index].operator, "/v1/status").map(|(_, body)| body).unwrap_or_default()
+        get(self.instances[index].operator, "/v1/status").map(|(_, body)| body).unwrap_or_default()
     }
 
     /// Waits for a leader of a group and returns its index, or `None` after 5 s without a leader.
@@ -272,35 +273,35 @@
     }
 
     fn current_leader(&self, group: &str) -> Option<usize> {
-        let running = self.nodes.iter().filter(|node| node.child.is_some());
-        let names = running.filter_map(|node| {
-            let status = get(node.operator, "/v1/status")?.1;
+        let running = self.instances.iter().filter(|instance| instance.child.is_some());
+        let names = running.filter_map(|instance| {
+            let status = get(instance.operator, "/v1/status")?.1;
             let groups = status["groups"].as_array()?.clone();
             let found = groups.into_iter().find(|entry| entry["group"] == group)?;
             let leader = found["leader"].as_str()?.split('#').next()?.to_owned();
-            (leader == node.name).then_some(leader)
+            (leader == instance.name).then_some(leader)
         });
         let name = names.into_iter().next()?;
-        self.nodes.iter().position(|node| node.name == name)
+        self.instances.iter().position(|instance| instance.name == name)
     }
 
     /// Starts an upstream process that announces itself to the given instances.
-    pub fn upstream(
+    pub fn start_upstream(
         &self,
         name: &str,
         zone: &str,
         to: &[usize],
         arguments: &[&str],
     ) -> upstream::Process {
-        let to: Vec<_> = to.iter().map(|index| self.nodes[*index].client.to_string()).collect();
+        let to: Vec<_> = to.iter().map(|index| self.instances[*index].client.to_string()).collect();
         upstream::Process::start(self.dir.path(), name, zone, &to.join(","), arguments)
     }
 
-    /// Waits until every running instance of a zone knows exactly `count` serving upstreams with a
-    /// valid lease.
+    /// Waits until every running instance of a zone reports exactly `count` serving upstreams with
+    /// a valid lease.
     pub fn wait_upstreams(&self, zone: &str, count: usize) {
-        for (index, node) in self.nodes.iter().enumerate() {
-            if node.child.is_none() || node.zone != zone {
+        for (index, instance) in self.instances.iter().enumerate() {
+            if instance.child.is_none() || instance.zone != zone {
                 continue;
             }
             let has_count = || {
@@ -311,27 +312,28 @@
             };
             assert!(
                 eventually(8_000, has_count),
-                "{} does not know {count} serving upstreams",
-                node.name
+                "{} does not report {count} serving upstreams",
+                instance.name
             );
         }
     }
 
     /// Submits a job to an instance.
     pub fn submit(&self, index: usize, job: &Value) -> (u16, Value) {
-        post(self.nodes[index].client, "/v1/jobs", job)
+        post(self.instances[index].client, "/v1/jobs", job)
     }
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        for index in 0..self.nodes.len() {
+        for index in 0..self.instances.len() {
             self.kill(index);
         }
         if thread::panicking() {
-            for node in &self.nodes {
-                let log = fs::read_to_string(self.dir.path().join(format!("{}.log", node.name)));
-                eprintln!("--- {}\n{}", node.name, log.unwrap_or_default());
+            for instance in &self.instances {
+                let log =
+                    fs::read_to_string(self.dir.path().join(format!("{}.log", instance.name)));
+                eprintln!("--- {}\n{}", instance.name, log.unwrap_or_default());
             }
         }
     }
@@ -419,11 +421,11 @@
     loopback_address(process::id(), NEXT.fetch_add(1, sync::atomic::Ordering::Relaxed))
 }
 
-/// Returns the address with the given offset of a process. The loopback network has a host for
-/// every process id, apart from [`net::Ipv4Addr::LOCALHOST`] and from the hosts of the clusters in
-/// `tests/system`.
+/// Returns the address that belongs to a process id and an offset. The loopback network has a host
+/// for every process id, apart from [`net::Ipv4Addr::LOCALHOST`] and from the hosts of the systems
+/// in `tests/system`.
 pub fn loopback_address(pid: u32, offset: u32) -> net::SocketAddr {
-    // The range ends below the ports that the system assigns to outgoing connections.
+    // The range ends below the ports that the kernel assigns to outgoing connections.
     const PORTS: std::ops::Range<u32> = 10_000..30_000;
     // Exclusive upper bound of a process id without its low two bytes: process ids on Linux go up
     // to 2^22 (`PID_MAX_LIMIT`).
--- a/crates/apricotroute/tests/harness/proxy.rs
+++ b/crates/apricotroute/tests/harness/proxy.rs
@@ -12,9 +12,9 @@
 
 #[derive(Debug, Default)]
 struct Faults {
-    cut: atomic::AtomicBool,
-    delay: atomic::AtomicU64,
-    closed: atomic::AtomicBool,
+    is_cut: atomic::AtomicBool,
+    delay_ms: atomic::AtomicU64,
+    is_closed: atomic::AtomicBool,
 }
 
 /// Forwards TCP connections to one address.
@@ -42,19 +42,19 @@
 
     /// Stops or resumes forwarding. While the proxy is cut, it holds the data of both directions
     /// and reports no error to either peer.
-    pub fn cut(&self, cut: bool) {
-        self.faults.cut.store(cut, atomic::Ordering::SeqCst);
+    pub fn set_cut(&self, is_cut: bool) {
+        self.faults.is_cut.store(is_cut, atomic::Ordering::SeqCst);
     }
 
     /// Delays the data of every read by `ms` milliseconds.
-    pub fn delay(&self, ms: u64) {
-        self.faults.delay.store(ms, atomic::Ordering::SeqCst);
+    pub fn set_delay(&self, ms: u64) {
+        self.faults.delay_ms.store(ms, atomic::Ordering::SeqCst);
     }
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.faults.closed.store(true, atomic::Ordering::SeqCst);
+        self.faults.is_closed.store(true, atomic::Ordering::SeqCst);
         // Wakes the thread that accepts connections.
         drop(net::TcpStream::connect(self.address));
     }
@@ -62,7 +62,7 @@
 
 fn accept(listener: &net::TcpListener, target: net::SocketAddr, faults: &sync::Arc<Faults>) {
     for stream in listener.incoming() {
-        if faults.closed.load(atomic::Ordering::SeqCst) {
+        if faults.is_closed.load(atomic::Ordering::SeqCst) {
             return;
         }
         let Ok(client) = stream else { continue };
@@ -82,7 +82,8 @@
 }
 
 fn wait_while_cut(faults: &Faults) {
-    while faults.cut.load(atomic::Ordering::SeqCst) && !faults.closed.load(atomic::Ordering::SeqCst)
+    while faults.is_cut.load(atomic::Ordering::SeqCst)
+        && !faults.is_closed.load(atomic::Ordering::SeqCst)
     {
         thread::sleep(POLL_INTERVAL);
     }
@@ -98,16 +99,16 @@
             Ok(0) => break,
             Ok(count) => count,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                if faults.closed.load(atomic::Ordering::SeqCst) {
+                if faults.is_closed.load(atomic::Ordering::SeqCst) {
                     break;
                 }
                 continue;
             }
             Err(_) => break,
         };
-        let delay = faults.delay.load(atomic::Ordering::SeqCst);
-        if delay > 0 {
-            thread::sleep(time::Duration::from_millis(delay));
+        let delay_ms = faults.delay_ms.load(atomic::Ordering::SeqCst);
+        if delay_ms > 0 {
+            thread::sleep(time::Duration::from_millis(delay_ms));
         }
         wait_while_cut(faults);
         if to.write_all(&buffer[..count]).is_err() {
--- a/crates/apricotroute/tests/odd_upstreams.rs
+++ b/crates/apricotroute/tests/odd_upstreams.rs
@@ -8,7 +8,9 @@
     net, sync, thread, time,
 };
 
-use harness::{Cluster, Plan, SERVICE, delete, eventually, get, job, new_job_id, post, sleep_ms};
+use harness::{
+    Cluster, ClusterConfig, SERVICE, delete, eventually, get, job, new_job_id, post, sleep_ms,
+};
 use serde_json::{Value, json};
 
 /// Handles the connection on which a fake upstream receives its task number `number`.
@@ -46,7 +48,7 @@
     fn announce_state(&self, cluster: &Cluster, name: &str, slots: u32, state: &str) {
         let body = json!({"upstream": name, "service": SERVICE, "availability_zone": "west",
                           "address": self.address.to_string(), "slots": slots, "state": state});
-        assert_eq!(post(cluster.nodes[0].client, "/v1/upstreams", &body).0, 200);
+        assert_eq!(post(cluster.instances[0].client, "/v1/upstreams", &body).0, 200);
     }
 }
 
@@ -88,14 +90,14 @@
 }
 
 fn cluster() -> Cluster {
-    let cluster = Plan::new(1).start();
+    let cluster = ClusterConfig::new(1).start();
     cluster.create_service();
     cluster
 }
 
-fn submit(cluster: &Cluster, tasks: usize, deadline: u64) -> (String, u16, Value) {
+fn submit(cluster: &Cluster, tasks: usize, deadline_ms: u64) -> (String, u16, Value) {
     let id = new_job_id("west");
-    let (status, body) = cluster.submit(0, &job(&id, tasks, deadline));
+    let (status, body) = cluster.submit(0, &job(&id, tasks, deadline_ms));
     (id, status, body)
 }
 
@@ -177,8 +179,8 @@
     let closed = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let body = json!({"upstream": "u1", "service": SERVICE, "availability_zone": "west",
                       "address": closed.to_string(), "slots": 8});
-    assert_eq!(post(cluster.nodes[0].client, "/v1/upstreams", &body).0, 200);
-    let good = cluster.upstream("u2", "west", &[0], &["--service-ms", "20", "--slots", "4"]);
+    assert_eq!(post(cluster.instances[0].client, "/v1/upstreams", &body).0, 200);
+    let good = cluster.start_upstream("u2", "west", &[0], &["--service-ms", "20", "--slots", "4"]);
     cluster.wait_upstreams("west", 3);
     let (_, status, body) = submit(&cluster, 20, 2_500);
     assert_eq!(status, 200, "{body}");
@@ -196,7 +198,7 @@
         }
     });
     fake.announce(&cluster, "u1", 4);
-    let path = format!("http://{}/v1/requests/{SERVICE}", cluster.nodes[0].client);
+    let path = format!("http://{}/v1/requests/{SERVICE}", cluster.instances[0].client);
     let response = ureq::post(&path).header("Idempotent", "true").send("x").unwrap();
     assert_eq!(response.into_body().read_to_string().unwrap(), "\"good\"");
     assert_eq!(fake.received().len(), 2, "an idempotent request is retried");
@@ -209,7 +211,7 @@
         drop(stream.write_all(b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"));
     });
     fake.announce(&cluster, "u1", 4);
-    let path = format!("http://{}/v1/requests/{SERVICE}", cluster.nodes[0].client);
+    let path = format!("http://{}/v1/requests/{SERVICE}", cluster.instances[0].client);
     let id = new_job_id("west");
     for _ in 0..3 {
         let result = ureq::post(&path).header("Request-Id", &id).send("x");
@@ -221,10 +223,10 @@
 #[test]
 fn cancelled_job() {
     let cluster = cluster();
-    let upstream = cluster.upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "2"]);
+    let upstream = cluster.start_upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "2"]);
     cluster.wait_upstreams("west", 1);
     let id = new_job_id("west");
-    let (to, spec) = (cluster.nodes[0].client, job(&id, 6, 20_000));
+    let (to, spec) = (cluster.instances[0].client, job(&id, 6, 20_000));
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &spec));
     assert!(eventually(2_000, || upstream.starts().len() == 2));
     let (status, body) = get(to, &format!("/v1/jobs/{id}")).unwrap();
@@ -244,7 +246,7 @@
 #[test]
 fn past_deadline() {
     let cluster = cluster();
-    let _upstream = cluster.upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "2"]);
+    let _upstream = cluster.start_upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "2"]);
     cluster.wait_upstreams("west", 1);
     let start = time::Instant::now();
     let (_, status, body) = submit(&cluster, 2, 400);
--- a/crates/apricotroute/tests/owner_faults.rs
+++ b/crates/apricotroute/tests/owner_faults.rs
@@ -5,19 +5,20 @@
 use std::thread;
 
 use harness::{
-    Cluster, Plan, check::Answers, eventually, job, new_job_id, sleep_ms, upstream::Process,
+    Cluster, ClusterConfig, check::Answers, eventually, job, new_job_id, sleep_ms,
+    upstream::Process,
 };
 use serde_json::{Value, json};
 
 const TASKS: usize = 40;
 
 fn cluster() -> (Cluster, Vec<Process>) {
-    let cluster = Plan::new(3).start();
+    let cluster = ClusterConfig::new(3).start();
     cluster.create_service();
     let arguments = ["--service-ms", "300", "--slots", "4"];
     let upstreams = vec![
-        cluster.upstream("u1", "west", &[0, 1, 2], &arguments),
-        cluster.upstream("u2", "west", &[1, 2, 0], &arguments),
+        cluster.start_upstream("u1", "west", &[0, 1, 2], &arguments),
+        cluster.start_upstream("u2", "west", &[1, 2, 0], &arguments),
     ];
     cluster.wait_upstreams("west", 2);
     (cluster, upstreams)
@@ -29,7 +30,7 @@
 
 /// Submits a job from another thread, since the instance may never answer.
 fn spawn_submit(cluster: &Cluster, at: usize, spec: &Value) -> thread::JoinHandle<(u16, Value)> {
-    let (to, spec) = (cluster.nodes[at].client, spec.clone());
+    let (to, spec) = (cluster.instances[at].client, spec.clone());
     thread::spawn(move || harness::post(to, "/v1/jobs", &spec))
 }
 
@@ -144,7 +145,7 @@
     let spec = job(&id, TASKS, 15_000);
     let first = spawn_submit(&cluster, 0, &spec);
     assert!(eventually(3_000, || start_count(&upstreams) > 4));
-    cluster.isolate(&[0], true);
+    cluster.set_isolated(&[0], true);
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     answers.record(&id, TASKS, &body);
@@ -156,17 +157,17 @@
     assert!(before < TASKS);
     sleep_ms(1_000);
     assert_eq!(job_starts(), before, "the isolated owner stopped by its own clock");
-    // The isolated instance refuses new jobs with a truthful state and serves idempotent requests.
+    // The isolated instance answers new jobs with `unknown` and serves idempotent requests.
     let other = new_job_id("west");
     let (status, body) = cluster.submit(0, &job(&other, 2, 6_000));
     assert_eq!((status, &body["state"]), (503, &json!("unknown")), "{body}");
-    let path = format!("http://{}/v1/requests/{}", cluster.nodes[0].client, harness::SERVICE);
+    let path = format!("http://{}/v1/requests/{}", cluster.instances[0].client, harness::SERVICE);
     let served = || {
         let request = ureq::post(&path).header("Idempotent", "true");
         request.send("x").is_ok_and(|response| response.headers()["state"] == "complete")
     };
     assert!(eventually(5_000, served));
-    cluster.isolate(&[0], false);
+    cluster.set_isolated(&[0], false);
     let (_, body) = first.join().unwrap();
     assert!(matches!(body["state"].as_str(), Some("failed" | "unknown")), "{body}");
     answers.record(&id, TASKS, &body);
@@ -183,14 +184,14 @@
     let spec = job(&id, TASKS, 15_000);
     let first = spawn_submit(&cluster, 0, &spec);
     assert!(eventually(3_000, || start_count(&upstreams) > 4));
-    cluster.cut(&[0], &[1, 2], true);
+    cluster.set_cut(&[0], &[1, 2], true);
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!((status, &body["state"]), (502, &json!("failed")), "{body}");
     answers.record(&id, TASKS, &body);
     let before = start_count(&upstreams);
     sleep_ms(1_500);
     assert_eq!(start_count(&upstreams), before);
-    cluster.cut(&[0], &[1, 2], false);
+    cluster.set_cut(&[0], &[1, 2], false);
     let (_, body) = first.join().unwrap();
     assert!(matches!(body["state"].as_str(), Some("failed" | "unknown")), "{body}");
     answers.record(&id, TASKS, &body);
--- a/crates/apricotroute/tests/platform_path.rs
+++ b/crates/apricotroute/tests/platform_path.rs
@@ -11,14 +11,14 @@
 };
 
 use serde_json::{Value, json};
-use system::{System, agent, config, eventually, get, job};
+use system::{System, agent, config, get, job, wait_until};
 
 const KEEPERS: usize = 3;
 
 /// Starts one zone with three keepers; each system of this file needs its own `subnet`.
 fn system(subnet: u8, entries: usize, upstreams: usize) -> System {
     let mut system =
-        System::new(system::Plan { subnet, zones: vec![(KEEPERS, entries)], relays: false });
+        System::new(system::Layout { subnet, zones: vec![(KEEPERS, entries)], has_relays: false });
     for at in 0..upstreams {
         system.add_upstream(&format!("i-{at}"), 0, None);
     }
@@ -33,8 +33,8 @@
 fn whole_path() {
     let system = system(1, 2, 4);
     let url = format!("http://{}/board/", system.client(KEEPERS));
-    eventually("an entry answers", || get(&url).0 == 503);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("an entry answers", || get(&url).0 == 503);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     assert_eq!(system.read_config(1), (200, config(3)));
     for number in 0..10 {
@@ -50,7 +50,7 @@
 #[test]
 fn bad_input() {
     let system = system(2, 1, 1);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     let change = |edit: fn(&mut Value)| {
         let mut config = config(9);
@@ -103,7 +103,7 @@
 }
 
 /// Sends an incomplete request and leaves the connection open.
-fn half_sent(to: net::SocketAddr, text: &str) -> net::TcpStream {
+fn send_partial(to: net::SocketAddr, text: &str) -> net::TcpStream {
     let mut stream = net::TcpStream::connect(to).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
@@ -113,7 +113,7 @@
 fn half_requests() {
     // Clients and upstreams that send half a request and then wait do not delay other requests.
     let system = system(6, 1, 2);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     let (client, operator) = (system.client(KEEPERS), system.operator(0));
     let head = "POST /board/00000000000000e0 HTTP/1.1\r\nHost: shop.example\r\n";
@@ -123,7 +123,11 @@
         "PUT /apricotroute/instances/i-x HTTP/1.1\r\nHost: x\r\nContent-Length: 900\r\n\r\n{";
     let open: Vec<_> = (0..200)
         .flat_map(|_| {
-            [half_sent(client, head), half_sent(client, &body), half_sent(operator, heartbeat)]
+            [
+                send_partial(client, head),
+                send_partial(client, &body),
+                send_partial(operator, heartbeat),
+            ]
         })
         .collect();
     let began = Instant::now();
@@ -142,7 +146,7 @@
 #[test]
 fn scheduler_killed() {
     let mut system = system(3, 2, 4);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     assert_eq!(system.submit(KEEPERS, "00000000000000b1", 4).0, 200);
     let scheduler = (0..KEEPERS).find(|at| system.log(*at).contains("zone: Scheduling")).unwrap();
@@ -150,13 +154,13 @@
     let began = Instant::now();
     assert_eq!(system.submit(KEEPERS + 1, "00000000000000b2", 4).0, 200);
     assert!(began.elapsed() < Duration::from_millis(1_900), "{:?}", began.elapsed());
-    system.write_settings(scheduler, false, &json!({}));
+    system.write_boot_file(scheduler, false, &json!({}));
     system.start(scheduler);
     let other = (scheduler + 1) % KEEPERS;
-    eventually("a configuration is accepted without one keeper", || {
+    wait_until("a configuration is accepted without one keeper", || {
         system.publish(other, &config(4)) == 200
     });
-    eventually("the restarted keeper catches up", || {
+    wait_until("the restarted keeper catches up", || {
         system.read_config(scheduler) == (200, config(4))
     });
 }
@@ -164,7 +168,7 @@
 #[test]
 fn graceful_stop() {
     let mut system = system(4, 2, 4);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     let address = system.client(KEEPERS);
     let clients: Vec<_> = (0..4)
@@ -184,7 +188,7 @@
         200,
         "the load balancer still sends requests to a draining entry"
     );
-    let mut child = system.nodes[KEEPERS].child.take().unwrap();
+    let mut child = system.instances[KEEPERS].child.take().unwrap();
     let began = Instant::now();
     assert!(child.wait().unwrap().success());
     assert!(began.elapsed() < Duration::from_secs(6));
@@ -193,15 +197,15 @@
 #[test]
 fn reload() {
     let system = system(5, 1, 1);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     for _ in 0..3 {
         system.signal(KEEPERS, "-HUP");
     }
-    eventually("the entry logs the reload", || system.log(KEEPERS).contains("Settings read again"));
-    fs::write(system.settings_file(KEEPERS), "{").unwrap();
+    wait_until("the entry logs the reload", || system.log(KEEPERS).contains("Settings read again"));
+    fs::write(system.boot_file(KEEPERS), "{").unwrap();
     system.signal(KEEPERS, "-HUP");
-    eventually("the entry keeps the former settings", || {
+    wait_until("the entry keeps the former settings", || {
         system.log(KEEPERS).contains("keeping the former")
     });
     assert_eq!(system.submit(KEEPERS, "00000000000000d1", 1).0, 200);
@@ -212,13 +216,13 @@
     // Unread log lines fill the pipe (64 KiB) and the queue before it; the process then drops
     // further lines.
     let mut system = system(7, 1, 2);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     for at in 0..=KEEPERS {
         system.kill(at);
     }
     for at in 0..=KEEPERS {
-        system.write_settings(at, false, &json!({}));
+        system.write_boot_file(at, false, &json!({}));
         system.start_unread(at);
     }
     system.wait_ready();
@@ -227,9 +231,9 @@
         assert_eq!(system.submit(KEEPERS, &id, 2).0, 200, "job {number}");
     }
     system.signal(KEEPERS, "-TERM");
-    let mut child = system.nodes[KEEPERS].child.take().unwrap();
+    let mut child = system.instances[KEEPERS].child.take().unwrap();
     let began = Instant::now();
-    eventually("the process ends although its output is blocked", || {
+    wait_until("the process ends although its output is blocked", || {
         child.try_wait().unwrap().is_some()
     });
     assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
@@ -238,7 +242,7 @@
 #[test]
 fn measures() {
     let system = system(8, 1, 2);
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
     assert_eq!(system.submit(KEEPERS, "000000000000ee01", 4).0, 200);
     let too_large = json!({"Spec": "", "BestEffort": true, "Steps": [{"Count": 1, "Cpu": 64_000}]});
@@ -247,13 +251,13 @@
     assert_eq!(
         request("POST", &url, too_large.to_string().as_bytes()),
         failed,
-        "no upstream is as large"
+        "no upstream is large enough"
     );
     let value = |at, name: &str| system.metric(at, name, &[]);
     let scheduling = |at: &usize| value(*at, "scheduling") == Some(1.0);
-    eventually("one keeper schedules", || (0..KEEPERS).filter(scheduling).count() == 1);
+    wait_until("one keeper schedules", || (0..KEEPERS).filter(scheduling).count() == 1);
     let keeper = (0..KEEPERS).find(scheduling).unwrap();
-    eventually("the gauges are up to date", || value(keeper, "free_cores") == Some(64.0));
+    wait_until("the gauges are up to date", || value(keeper, "free_cores") == Some(64.0));
     assert_eq!(value(keeper, "start_wait_seconds_count"), Some(4.0));
     assert_eq!(value(keeper, "upstreams"), Some(2.0));
     assert_eq!(value(keeper, "settings_voters"), Some(3.0));
@@ -265,10 +269,10 @@
         assert_eq!(count, Some(1.0), "{outcome}");
     }
     // Gauges are at most half a second old.
-    eventually("the gauges of the entry are up to date", || {
+    wait_until("the gauges of the entry are up to date", || {
         value(KEEPERS, "settings_version") == Some(3.0)
     });
     let leading = |at: &usize| value(*at, "settings_leading") == Some(1.0);
-    eventually("one keeper leads", || (0..KEEPERS).filter(leading).count() == 1);
+    wait_until("one keeper leads", || (0..KEEPERS).filter(leading).count() == 1);
     assert!((0..KEEPERS).all(|at| value(at, "disk_sync_seconds_count") > Some(0.0)));
 }
--- a/crates/apricotroute/tests/quotas.rs
+++ b/crates/apricotroute/tests/quotas.rs
@@ -4,15 +4,15 @@
 
 use std::thread;
 
-use harness::{Cluster, Plan, SERVICE, job, new_job_id, post, sleep_ms};
+use harness::{Cluster, ClusterConfig, SERVICE, job, new_job_id, post, sleep_ms};
 use serde_json::{Value, json};
 
 fn cluster(values: &Value, arguments: &[&str]) -> (Cluster, harness::upstream::Process) {
-    let cluster = Plan::new(3).start();
-    let (status, body) = cluster.set(0, SERVICE, &json!({"values": values}));
+    let cluster = ClusterConfig::new(3).start();
+    let (status, body) = cluster.change_settings(0, SERVICE, &json!({"values": values}));
     assert_eq!(status, 200, "{body}");
     cluster.wait_version(1);
-    let upstream = cluster.upstream("u1", "west", &[0, 1, 2], arguments);
+    let upstream = cluster.start_upstream("u1", "west", &[0, 1, 2], arguments);
     cluster.wait_upstreams("west", 1);
     (cluster, upstream)
 }
@@ -27,7 +27,7 @@
 fn team_in_flight() {
     let slow = ["--service-ms", "800", "--slots", "30"];
     let (cluster, upstream) = cluster(&json!({"team_in_flight": 10}), &slow);
-    let to = cluster.nodes[0].client;
+    let to = cluster.instances[0].client;
     let first = team_job("north", 8);
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &first));
     sleep_ms(200);
--- a/crates/apricotroute/tests/same_id.rs
+++ b/crates/apricotroute/tests/same_id.rs
@@ -4,18 +4,18 @@
 
 use std::thread;
 
-use harness::{Plan, check::Answers, job, new_job_id, sleep_ms};
+use harness::{ClusterConfig, check::Answers, job, new_job_id, sleep_ms};
 
 const CLIENTS: usize = 100;
 const TASKS: usize = 12;
 
 #[test]
 fn storm() {
-    let cluster = Plan::new(3).start();
+    let cluster = ClusterConfig::new(3).start();
     cluster.create_service();
     let upstreams = [
-        cluster.upstream("u1", "west", &[0], &["--service-ms", "100"]),
-        cluster.upstream("u2", "west", &[1], &["--service-ms", "100"]),
+        cluster.start_upstream("u1", "west", &[0], &["--service-ms", "100"]),
+        cluster.start_upstream("u2", "west", &[1], &["--service-ms", "100"]),
     ];
     cluster.wait_upstreams("west", 2);
     let mut answers = Answers::default();
@@ -40,9 +40,9 @@
 
 #[test]
 fn storm_without_leader() {
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     cluster.create_service();
-    let upstreams = [cluster.upstream("u1", "west", &[0, 1, 2], &["--service-ms", "100"])];
+    let upstreams = [cluster.start_upstream("u1", "west", &[0, 1, 2], &["--service-ms", "100"])];
     cluster.wait_upstreams("west", 1);
     let leader = cluster.leader("journal west").unwrap();
     let others: Vec<_> = (0..3).filter(|at| *at != leader).collect();
--- a/crates/apricotroute/tests/seen_outside.rs
+++ b/crates/apricotroute/tests/seen_outside.rs
@@ -4,17 +4,17 @@
 
 use std::fs;
 
-use harness::{Plan, SERVICE, eventually, job, new_job_id};
+use harness::{ClusterConfig, SERVICE, eventually, job, new_job_id};
 use serde_json::Value;
 
 #[test]
 fn span_each_hop() {
-    let cluster = Plan::with_zones(&[("west", 1), ("mid", 2)]).start();
+    let cluster = ClusterConfig::with_zones(&[("west", 1), ("mid", 2)]).start();
     cluster.create_service();
-    let _upstream = cluster.upstream("u1", "west", &[0], &[]);
+    let _upstream = cluster.start_upstream("u1", "west", &[0], &[]);
     cluster.wait_upstreams("west", 1);
     let trace = "0af7651916cd43dd8448eb211c80319c";
-    let response = ureq::post(format!("http://{}/v1/jobs", cluster.nodes[1].client))
+    let response = ureq::post(format!("http://{}/v1/jobs", cluster.instances[1].client))
         .header("traceparent", format!("00-{trace}-b7ad6b7169203331-01"))
         .send(job(&new_job_id("west"), 2, 3_000).to_string())
         .unwrap();
@@ -38,9 +38,9 @@
 
 #[test]
 fn prometheus_text() {
-    let cluster = Plan::new(3).start();
+    let cluster = ClusterConfig::new(3).start();
     cluster.create_service();
-    let _upstream = cluster.upstream("u1", "west", &[0], &[]);
+    let _upstream = cluster.start_upstream("u1", "west", &[0], &[]);
     cluster.wait_upstreams("west", 1);
     assert_eq!(cluster.submit(0, &job(&new_job_id("west"), 5, 3_000)).0, 200);
     assert_eq!(
@@ -48,7 +48,7 @@
         503
     );
     let text = || {
-        let url = format!("http://{}/metrics", cluster.nodes[0].operator);
+        let url = format!("http://{}/metrics", cluster.instances[0].operator);
         ureq::get(url).call().unwrap().into_body().read_to_string().unwrap()
     };
     let lines = [
@@ -69,7 +69,7 @@
 
 #[test]
 fn log_lines() {
-    let mut cluster = Plan::new(1).start();
+    let mut cluster = ClusterConfig::new(1).start();
     assert_eq!(cluster.terminate(0), Some(0));
     let text = fs::read_to_string(cluster.dir.path().join("west-1.log")).unwrap();
     let lines: Vec<Value> = text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
--- a/crates/apricotroute/tests/settings_faults.rs
+++ b/crates/apricotroute/tests/settings_faults.rs
@@ -5,12 +5,12 @@
 
 use std::{collections, fs, io::Write as _, thread};
 
-use harness::{Cluster, Plan, eventually, get, sleep_ms};
+use harness::{Cluster, ClusterConfig, eventually, get, sleep_ms};
 use serde_json::{Value, json};
 
 fn change(cluster: &Cluster, at: usize, id: &str, base: Option<u64>, queue: u64) -> (u16, Value) {
     let body = json!({"base": base, "change": id, "values": {"max_queue": queue}});
-    cluster.set(at, "ireland", &body)
+    cluster.change_settings(at, "ireland", &body)
 }
 
 fn new_change_id() -> String {
@@ -18,13 +18,13 @@
 }
 
 fn value(cluster: &Cluster, at: usize) -> Value {
-    let (_, body) = get(cluster.nodes[at].operator, "/v1/settings/ireland").unwrap();
+    let (_, body) = get(cluster.instances[at].operator, "/v1/settings/ireland").unwrap();
     body["values"]["max_queue"].clone()
 }
 
 #[test]
 fn racing_operators() {
-    let cluster = Plan::new(3).start();
+    let cluster = ClusterConfig::new(3).start();
     let mut version = 0;
     for round in 0..8_u64 {
         let ids: Vec<_> = (0..3).map(|_| new_change_id()).collect();
@@ -53,7 +53,7 @@
 
 #[test]
 fn leader_lost() {
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     let (status, _) = change(&cluster, 0, &new_change_id(), None, 1);
     assert_eq!(status, 200);
     let mut accepted = 1;
@@ -84,13 +84,13 @@
 
 #[test]
 fn disk_lost() {
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     for number in 1..=20 {
         assert_eq!(change(&cluster, 0, &new_change_id(), None, number).0, 200);
     }
     // One disk is lost; its instance restarts without data under its old name.
     cluster.kill(1);
-    fs::remove_dir_all(cluster.nodes[1].folder.as_ref().unwrap()).unwrap();
+    fs::remove_dir_all(cluster.instances[1].folder.as_ref().unwrap()).unwrap();
     cluster.start(1);
     cluster.wait_ready();
     cluster.wait_version(20);
@@ -104,11 +104,11 @@
     sleep_ms(500);
     // Right after the repair a second voter is lost together with its disk.
     cluster.kill(2);
-    fs::remove_dir_all(cluster.nodes[2].folder.as_ref().unwrap()).unwrap();
+    fs::remove_dir_all(cluster.instances[2].folder.as_ref().unwrap()).unwrap();
     let settled = eventually(8_000, || change(&cluster, 1, &new_change_id(), None, 99).0 == 200);
     assert!(settled, "the two remaining voters hold all changes");
     assert_eq!(value(&cluster, 1), 99);
-    let version = Cluster::version(&cluster.nodes[1]).unwrap();
+    let version = Cluster::settings_version(&cluster.instances[1]).unwrap();
     assert!(version >= 21);
     cluster.start(2);
     cluster.wait_ready();
@@ -117,7 +117,7 @@
 
 #[test]
 fn many_changes() {
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     let mut outcomes = collections::BTreeMap::new();
     for number in 1..=500_u64 {
         let id = new_change_id();
@@ -146,7 +146,7 @@
 
 #[test]
 fn flipped_byte() {
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     for number in 1..=50 {
         assert_eq!(change(&cluster, 0, &new_change_id(), None, number).0, 200);
     }
@@ -156,7 +156,7 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     fs::write(&log, bytes).unwrap();
-    let output = serve(&cluster, 0);
+    let output = run_to_exit(&cluster, 0);
     assert_eq!(output.status.code(), Some(2));
     let line = String::from_utf8(output.stderr).unwrap();
     assert!(line.contains("bad checksum") && line.contains("offset"), "{line}");
@@ -165,36 +165,36 @@
 
 #[test]
 fn wrong_folder() {
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     // If two processes use one folder, the second one exits with a clear error.
-    let output = serve(&cluster, 0);
+    let output = run_to_exit(&cluster, 0);
     assert_eq!(output.status.code(), Some(2));
     let line = String::from_utf8(output.stderr).unwrap();
     assert!(line.contains("another process uses"), "{line}");
     // An instance refuses the folder of another instance, and its error names that instance.
     cluster.kill(0);
     cluster.kill(1);
-    let text = fs::read_to_string(&cluster.nodes[0].settings).unwrap();
-    fs::write(&cluster.nodes[0].settings, text.replace("west-1.data", "west-2.data")).unwrap();
-    let output = serve(&cluster, 0);
+    let text = fs::read_to_string(&cluster.instances[0].boot_file).unwrap();
+    fs::write(&cluster.instances[0].boot_file, text.replace("west-1.data", "west-2.data")).unwrap();
+    let output = run_to_exit(&cluster, 0);
     assert_eq!(output.status.code(), Some(2));
     let line = String::from_utf8(output.stderr).unwrap();
     assert!(line.contains("belongs to instance west-2"), "{line}");
 }
 
 fn log_file(cluster: &Cluster, at: usize) -> std::path::PathBuf {
-    let folder = cluster.nodes[at].folder.as_ref().unwrap();
+    let folder = cluster.instances[at].folder.as_ref().unwrap();
     let files = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
     let is_log =
         |path: &std::path::PathBuf| path.file_name().unwrap().to_str().unwrap().starts_with("log-");
     files.into_iter().find(is_log).unwrap()
 }
 
-/// Starts an instance that is expected to exit by itself.
-fn serve(cluster: &Cluster, at: usize) -> std::process::Output {
+/// Runs an instance that is expected to exit by itself, and returns its output.
+fn run_to_exit(cluster: &Cluster, at: usize) -> std::process::Output {
     std::process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
         .args(["serve", "--settings"])
-        .arg(&cluster.nodes[at].settings)
+        .arg(&cluster.instances[at].boot_file)
         .output()
         .unwrap()
 }
--- a/crates/apricotroute/tests/shutdown.rs
+++ b/crates/apricotroute/tests/shutdown.rs
@@ -4,20 +4,22 @@
 
 use std::{thread, time};
 
-use harness::{Plan, check::Answers, delete, eventually, get, job, new_job_id, post, sleep_ms};
+use harness::{
+    ClusterConfig, check::Answers, delete, eventually, get, job, new_job_id, post, sleep_ms,
+};
 use serde_json::json;
 
 #[test]
 fn nothing_cut() {
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     cluster.create_service();
     let upstreams = [
-        cluster.upstream("u1", "west", &[1], &["--service-ms", "500"]),
-        cluster.upstream("u2", "west", &[2], &["--service-ms", "500"]),
+        cluster.start_upstream("u1", "west", &[1], &["--service-ms", "500"]),
+        cluster.start_upstream("u2", "west", &[2], &["--service-ms", "500"]),
     ];
     cluster.wait_upstreams("west", 2);
     let specs: Vec<_> = (0..6).map(|_| (new_job_id("west"), 8)).collect();
-    let to = cluster.nodes[0].client;
+    let to = cluster.instances[0].client;
     let mut answers = Answers::default();
     let threads: Vec<_> = specs
         .iter()
@@ -28,10 +30,10 @@
         .collect();
     sleep_ms(300);
     cluster.signal(0, "-TERM");
-    let operator = cluster.nodes[0].operator;
+    let operator = cluster.instances[0].operator;
     let not_ready = || get(operator, "/readyz").is_none_or(|(status, _)| status == 503);
     assert!(eventually(1_000, not_ready));
-    // New jobs are refused with a time to retry, and a second signal does not shorten the drain.
+    // New jobs are refused with `retry_after_ms`, and a second signal does not shorten the drain.
     let (status, body) = post(to, "/v1/jobs", &job(&new_job_id("west"), 2, 5_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     assert!(body["retry_after_ms"].as_u64().is_some_and(|ms| ms > 0), "{body}");
@@ -41,7 +43,7 @@
         assert_eq!(status, 200, "{body}");
         answers.record(id, *tasks, &body);
     }
-    let code = cluster.nodes[0].child.take().unwrap().wait().unwrap().code();
+    let code = cluster.instances[0].child.take().unwrap().wait().unwrap().code();
     assert_eq!(code, Some(0));
     answers.verify(&upstreams);
     // The other instances took over the share of the stopped instance at once.
@@ -56,11 +58,11 @@
 
 #[test]
 fn drain_bound() {
-    let mut cluster = Plan::new(1).with_extra(json!({"drain_ms": 700})).start();
+    let mut cluster = ClusterConfig::new(1).with_extra(json!({"drain_ms": 700})).start();
     cluster.create_service();
-    let _upstream = cluster.upstream("u1", "west", &[0], &["--mode", "hang"]);
+    let _upstream = cluster.start_upstream("u1", "west", &[0], &["--mode", "hang"]);
     cluster.wait_upstreams("west", 1);
-    let (to, spec) = (cluster.nodes[0].client, job(&new_job_id("west"), 1, 60_000));
+    let (to, spec) = (cluster.instances[0].client, job(&new_job_id("west"), 1, 60_000));
     let _waiting = thread::spawn(move || post(to, "/v1/jobs", &spec));
     sleep_ms(300);
     let start = time::Instant::now();
@@ -72,10 +74,10 @@
 
 #[test]
 fn leaving_upstream() {
-    let cluster = Plan::new(3).start();
+    let cluster = ClusterConfig::new(3).start();
     cluster.create_service();
-    let staying = cluster.upstream("u1", "west", &[0], &["--service-ms", "20"]);
-    let mut leaving = cluster.upstream("u2", "west", &[1], &["--service-ms", "20"]);
+    let staying = cluster.start_upstream("u1", "west", &[0], &["--service-ms", "20"]);
+    let mut leaving = cluster.start_upstream("u2", "west", &[1], &["--service-ms", "20"]);
     cluster.wait_upstreams("west", 2);
     let (status, _) = cluster.submit(2, &job(&new_job_id("west"), 100, 10_000));
     assert_eq!(status, 200);
@@ -94,9 +96,9 @@
 
 #[test]
 fn lapsed_and_withdrawn() {
-    let cluster = Plan::new(3).start();
+    let cluster = ClusterConfig::new(3).start();
     cluster.create_service();
-    let mut upstream = cluster.upstream("u1", "west", &[0], &[]);
+    let mut upstream = cluster.start_upstream("u1", "west", &[0], &[]);
     cluster.wait_upstreams("west", 1);
     // The upstream is killed without a withdrawal, so its lease expires at every instance.
     upstream.child.kill().unwrap();
@@ -104,9 +106,9 @@
     let (status, body) = cluster.submit(2, &job(&new_job_id("west"), 1, 2_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     // An upstream that is withdrawn by name is gone at every instance at once.
-    let _other = cluster.upstream("u2", "west", &[1], &[]);
+    let _other = cluster.start_upstream("u2", "west", &[1], &[]);
     cluster.wait_upstreams("west", 1);
-    let (status, _) = delete(cluster.nodes[2].client, "/v1/upstreams/u2").unwrap();
+    let (status, _) = delete(cluster.instances[2].client, "/v1/upstreams/u2").unwrap();
     assert_eq!(status, 200);
     let gone = || {
         let status = cluster.status(0);
@@ -119,11 +121,11 @@
 #[test]
 fn passed_on() {
     // A submission from another zone is forwarded past an instance that shuts down.
-    let cluster = Plan::with_zones(&[("west", 2), ("mid", 1)]).start();
+    let cluster = ClusterConfig::with_zones(&[("west", 2), ("mid", 1)]).start();
     cluster.create_service();
-    let upstream = cluster.upstream("u1", "west", &[1], &["--service-ms", "1500"]);
+    let upstream = cluster.start_upstream("u1", "west", &[1], &["--service-ms", "1500"]);
     cluster.wait_upstreams("west", 1);
-    let (to, spec) = (cluster.nodes[0].client, job(&new_job_id("west"), 2, 10_000));
+    let (to, spec) = (cluster.instances[0].client, job(&new_job_id("west"), 2, 10_000));
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &spec));
     assert!(eventually(2_000, || upstream.starts().len() == 2));
     cluster.signal(0, "-TERM");
@@ -139,14 +141,14 @@
 fn isolated_drain() {
     // No client waits any longer for the job of an isolated instance, so the job does not delay the
     // shutdown.
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     cluster.create_service();
-    let _upstream = cluster.upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "3"]);
+    let _upstream = cluster.start_upstream("u1", "west", &[0], &["--mode", "hang", "--slots", "3"]);
     cluster.wait_upstreams("west", 1);
-    let (to, spec) = (cluster.nodes[0].client, job(&new_job_id("west"), 1, 60_000));
+    let (to, spec) = (cluster.instances[0].client, job(&new_job_id("west"), 1, 60_000));
     let waiting = thread::spawn(move || post(to, "/v1/jobs", &spec));
     sleep_ms(300);
-    cluster.isolate(&[0], true);
+    cluster.set_isolated(&[0], true);
     let (status, body) = waiting.join().unwrap();
     assert_eq!((status, &body["state"]), (503, &json!("unknown")), "{body}");
     let start = time::Instant::now();
--- a/crates/apricotroute/tests/soak.rs
+++ b/crates/apricotroute/tests/soak.rs
@@ -26,9 +26,9 @@
     (42, 12_000),
     (46, 12_000),
     (50, 12_000),
-    // The test judged a drain in a zone that had been isolated 0.2 s after the acknowledgement.
+    // The test checked a drain in a zone that had been isolated 0.2 s after the acknowledgement.
     (51, 12_000),
-    // A scheduler that had just started did not know of an upstream where a resumed job ran.
+    // A scheduler that had just started had no record of an upstream where a resumed job ran.
     (505, 12_000),
 ];
 
@@ -41,7 +41,7 @@
     let duration = Duration::from_millis(ms);
     let entries = env_var("SOAK_ENTRIES").unwrap_or(2);
     let size = plan::Size { zones: 3, keepers: 1, entries, upstreams: 5 };
-    play::play(subnet, seed, size, duration);
+    play::run(subnet, seed, size, duration);
 }
 
 #[test]
--- a/crates/apricotroute/tests/soak/judge.rs
+++ b/crates/apricotroute/tests/soak/judge.rs
@@ -40,7 +40,7 @@
         for pair in list.windows(2) {
             let end = pair[0].ended.map(|(at, _)| at);
             if end.is_none_or(|end| end > pair[1].began + TIME_TOLERANCE) {
-                observed.violation(format!("{task} ran twice at the same time: {pair:?}"));
+                observed.record_violation(format!("{task} ran twice at the same time: {pair:?}"));
             }
         }
     }
@@ -63,19 +63,19 @@
                 let complete = (0..request.tasks)
                     .all(|index| runs_of(index).is_some_and(|list| list.iter().any(done)));
                 if !complete {
-                    observed.violation(format!(
+                    observed.record_violation(format!(
                         "{request:?} was answered as complete before all its tasks were done"
                     ));
                 }
             }
             200 if request.state != "failed" => {
-                observed.violation(format!("{request:?} has no state"));
+                observed.record_violation(format!("{request:?} has no state"));
             }
             429 | 503
                 if request.attempts.iter().all(|(status, _)| matches!(status, 429 | 503))
                     && (0..request.tasks).any(|index| runs_of(index).is_some()) =>
             {
-                observed.violation(format!(
+                observed.record_violation(format!(
                     "{request:?} was refused in all attempts, but its tasks ran"
                 ));
             }
@@ -90,15 +90,15 @@
     let published = observed.published.lock().unwrap().clone();
     for (sent, version, config) in observed.reads.lock().unwrap().iter() {
         let expected =
-            sent.checked_sub(APPLY_LIMIT).map_or(0, |before| observed.acknowledged(before));
+            sent.checked_sub(APPLY_LIMIT).map_or(0, |before| observed.acknowledged_version(before));
         if *version < expected {
-            observed.violation(format!(
+            observed.record_violation(format!(
                 "a read returned version {version} after {expected} had been acknowledged"
             ));
         }
         let known = published.iter().any(|(_, sent, _)| sent == config);
         if *version > 0 && !known {
-            observed.violation(format!(
+            observed.record_violation(format!(
                 "a read returned version {version}, but no operator sent {config}"
             ));
         }
@@ -119,7 +119,7 @@
     let connected =
         |at: Instant| !disturbed.iter().any(|(from, to)| *from <= at && at < *to + RECONNECT_TIME);
     for run in runs.iter().filter(|run| run.began > leave + DRAIN_LIMIT && connected(run.began)) {
-        observed.violation(format!(
+        observed.record_violation(format!(
             "{id} got {run:?}, {:?} after its leave was acknowledged",
             run.began - leave
         ));
--- a/crates/apricotroute/tests/soak/load.rs
+++ b/crates/apricotroute/tests/soak/load.rs
@@ -23,7 +23,7 @@
     pub id: String,
     pub tasks: u32,
     pub first_sent: Instant,
-    /// The status of each attempt, 0 for no complete answer, and when the client knew it.
+    /// The status of each attempt, 0 without a complete answer, and when the attempt ended.
     pub attempts: Vec<(u16, Instant)>,
     pub state: String,
 }
@@ -39,9 +39,9 @@
 #[derive(Debug, Default)]
 pub struct Observations {
     pub requests: Mutex<Vec<Request>>,
-    /// Configurations that operators sent: version, content, and when it was acknowledged.
+    /// Configurations that operators sent: version, content and time of acknowledgement.
     pub published: Mutex<Vec<(u64, Value, Option<Instant>)>>,
-    /// Reads: when it was sent, and the version and configuration that it returned.
+    /// Reads: time of the request, and the version and configuration of the answer.
     pub reads: Mutex<Vec<(Instant, u64, Value)>>,
     pub violations: Mutex<Vec<String>>,
     pub stopped: atomic::AtomicBool,
@@ -50,7 +50,7 @@
 
 impl Observations {
     /// Records a violated invariant.
-    pub fn violation(&self, text: String) {
+    pub fn record_violation(&self, text: String) {
         self.violations.lock().unwrap().push(text);
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// The highest version that was acknowledged at or before a given time.
-    pub fn acknowledged(&self, before: Instant) -> u64 {
+    pub fn acknowledged_version(&self, before: Instant) -> u64 {
         let published = self.published.lock().unwrap();
         let acknowledged = published.iter().filter(|(_, _, at)| at.is_some_and(|at| at <= before));
         acknowledged.map(|(version, ..)| *version).max().unwrap_or(0)
@@ -73,7 +73,7 @@
 
 /// Runs a client that sends one request after another to the entries at `addresses` and reuses its
 /// connections until they close.
-pub fn client(
+pub fn run_client(
     observed: &Observations,
     seed: u64,
     addresses: &[std::net::SocketAddr],
@@ -144,8 +144,9 @@
             409 => return,
             0 | 503 => thread::sleep(Duration::from_millis(100)),
             status => {
-                return observed
-                    .violation(format!("version {version} was answered with status {status}"));
+                return observed.record_violation(format!(
+                    "version {version} was answered with status {status}"
+                ));
             }
         }
     }
@@ -160,12 +161,14 @@
     let body = config.to_string();
     let status = system::call(&system::agent(), "PUT", &url, body.as_bytes()).0;
     if !matches!(status, 0 | 400 | 503) {
-        observed.violation(format!("an invalid configuration was answered with status {status}"));
+        observed.record_violation(format!(
+            "an invalid configuration was answered with status {status}"
+        ));
     }
 }
 
 /// Runs an operator that reads the configuration from random keepers.
-pub fn reader(observed: &Observations, seed: u64, operators: &[std::net::SocketAddr]) {
+pub fn run_reader(observed: &Observations, seed: u64, operators: &[std::net::SocketAddr]) {
     const PAUSE: Duration = Duration::from_millis(150);
     let mut rng = SmallRng::seed_from_u64(seed);
     while !observed.is_stopped() {
@@ -183,7 +186,7 @@
 /// Requests the routes of the last four configurations from all entries, and checks that no entry
 /// returns to an older version while its process runs. `launch` gives the number of an entry's
 /// current process, or `None` while it is down; the prober calls it before and after each request.
-pub fn prober(
+pub fn run_prober(
     observed: &Observations,
     entries: &[(usize, std::net::SocketAddr)],
     launch: &dyn Fn(usize) -> Option<u32>,
@@ -202,7 +205,7 @@
                 }
                 let known = newest.entry((*at, current)).or_default();
                 if *version < *known {
-                    observed.violation(format!(
+                    observed.record_violation(format!(
                         "entry {at} went back from version {known} to {version}"
                     ));
                 }
--- a/crates/apricotroute/tests/soak/plan.rs
+++ b/crates/apricotroute/tests/soak/plan.rs
@@ -13,7 +13,7 @@
     /// Sends SIGTERM and starts a new process after the old one has ended.
     Term(usize),
     /// Sends SIGSTOP, and SIGCONT after this time.
-    Freeze(usize, Duration),
+    Suspend(usize, Duration),
     /// Sends SIGHUP this many times.
     Hup(usize, u32),
     /// Kills all keepers at once and starts them again after this time.
@@ -75,7 +75,7 @@
                 Some(START_TIME * 2)
             }
             Self::Term(_) => Some(STOP_TIME + START_TIME),
-            Self::Freeze(_, time)
+            Self::Suspend(_, time)
             | Self::BlockOneWay(_, _, time)
             | Self::Isolate(_, time)
             | Self::IsolateZone(_, time)
@@ -116,10 +116,10 @@
 /// Seeds below this one draw from fewer kinds of faults, so that they still give the plan with
 /// which they failed before.
 const FULL_SEED: u64 = 1_000;
-/// How many numbers a seed below [`FULL_SEED`] draws its faults from.
-const EARLY_KINDS: u32 = 26;
-/// How many numbers all other seeds draw their faults from.
-const KINDS: u32 = 29;
+/// Number of random values that select a fault, for a seed below [`FULL_SEED`].
+const EARLY_CHOICES: u32 = 26;
+/// Number of random values that select a fault, for all other seeds.
+const CHOICES: u32 = 29;
 
 /// The faults of one seed, with their times from the start, in ascending order.
 pub fn plan(seed: u64, size: Size, duration: Duration) -> Vec<(Duration, Fault)> {
@@ -130,28 +130,28 @@
     let mut at = 0;
     let mut plan = Vec::new();
     let mut wiped = 0;
-    let kinds = if seed < FULL_SEED { EARLY_KINDS } else { KINDS };
+    let choices = if seed < FULL_SEED { EARLY_CHOICES } else { CHOICES };
     while at < duration.as_millis() as u64 {
-        let fault = fault(&mut rng, size, kinds, &mut wiped);
+        let fault = fault(&mut rng, size, choices, &mut wiped);
         plan.push((Duration::from_millis(at), fault));
         at += rng.random_range(0..2 * mean_gap);
     }
     plan
 }
 
-fn fault(rng: &mut SmallRng, size: Size, kinds: u32, wiped: &mut u32) -> Fault {
-    let node = rng.random_range(0..size.zones * size.instances());
+fn fault(rng: &mut SmallRng, size: Size, choices: u32, wiped: &mut u32) -> Fault {
+    let instance = rng.random_range(0..size.zones * size.instances());
     let other = rng.random_range(0..size.zones * size.instances());
     let zone = rng.random_range(0..size.zones);
     let keeper = zone * size.instances() + rng.random_range(0..size.keepers);
     let upstream = rng.random_range(0..size.zones * size.upstreams);
     let time = Duration::from_millis(rng.random_range(100..4_000));
     let latency = Duration::from_millis(rng.random_range(5..120));
-    match rng.random_range(0..kinds) {
-        0..=2 => Fault::Kill(node, time / 2),
-        3 | 4 => Fault::Term(node),
-        5 | 6 => Fault::Freeze(node, time),
-        7 => Fault::Hup(node, rng.random_range(1..4)),
+    match rng.random_range(0..choices) {
+        0..=2 => Fault::Kill(instance, time / 2),
+        3 | 4 => Fault::Term(instance),
+        5 | 6 => Fault::Suspend(instance, time),
+        7 => Fault::Hup(instance, rng.random_range(1..4)),
         8 => Fault::KillKeepers(time),
         9 => Fault::KillAll,
         // A plan wipes only one disk: a second one may be lost only after the first is repaired,
@@ -161,13 +161,13 @@
             Fault::Wipe(keeper)
         }
         10 | 11 => Fault::TornWrite(keeper),
-        12 => Fault::BlockOneWay(node, other, time),
-        13 => Fault::Isolate(node, time),
+        12 => Fault::BlockOneWay(instance, other, time),
+        13 => Fault::Isolate(instance, time),
         14 => Fault::IsolateZone(zone, time),
-        15 => Fault::Delay(node, latency, time),
-        16 => Fault::Reset(node),
-        17 => Fault::Blackhole(node),
-        18 => Fault::ClockSkew(node, rng.random_range(-3_000..3_000)),
+        15 => Fault::Delay(instance, latency, time),
+        16 => Fault::Reset(instance),
+        17 => Fault::Blackhole(instance),
+        18 => Fault::ClockSkew(instance, rng.random_range(-3_000..3_000)),
         19 => Fault::Crash(upstream),
         20 => Fault::Leave(upstream),
         21 => Fault::Fail(upstream, time),
--- a/crates/apricotroute/tests/soak/play.rs
+++ b/crates/apricotroute/tests/soak/play.rs
@@ -22,7 +22,7 @@
 /// machine.
 const STOP_LIMIT: Duration = Duration::from_secs(8);
 /// The system has recovered this long after the last fault: a wiped disk is repaired, and
-/// instances that had been silent are in contact again.
+/// instances that had been disconnected have connected again.
 const RECOVERY_TIME: Duration = Duration::from_secs(9);
 /// How long the test observes the recovered system.
 const OBSERVE_TIME: Duration = Duration::from_secs(3);
@@ -36,7 +36,7 @@
 enum Step {
     Start(usize),
     Restart(usize, Instant),
-    Continue(usize),
+    Resume(usize),
     Unblock(usize, usize),
     EndDelay(usize),
     ResetBehavior(usize),
@@ -45,7 +45,7 @@
     EndLeave(usize),
 }
 
-struct Player {
+struct Runner {
     system: System,
     size: Size,
     observed: sync::Arc<Observations>,
@@ -71,29 +71,29 @@
 /// # Panics
 ///
 /// If an invariant is violated.
-pub fn play(subnet: u8, seed: u64, size: Size, duration: Duration) {
-    let mut player = Player::new(subnet, seed, size);
-    player.prepare();
-    player.start_load(seed);
+pub fn run(subnet: u8, seed: u64, size: Size, duration: Duration) {
+    let mut runner = Runner::new(subnet, seed, size);
+    runner.prepare();
+    runner.start_load(seed);
     let start = Instant::now();
     for (at, fault) in plan::plan(seed, size, duration) {
-        player.wait(start + at);
-        player.apply(fault);
+        runner.wait(start + at);
+        runner.apply(fault);
     }
-    player.wait(start + duration);
-    player.heal();
+    runner.wait(start + duration);
+    runner.heal();
     let recovered = Instant::now();
-    player.apply(Fault::Leave(0));
-    player.wait(recovered + OBSERVE_TIME);
-    player.finish(seed, recovered);
+    runner.apply(Fault::Leave(0));
+    runner.wait(recovered + OBSERVE_TIME);
+    runner.finish(seed, recovered);
 }
 
-impl Player {
+impl Runner {
     fn new(subnet: u8, seed: u64, size: Size) -> Self {
         let zones = vec![(size.keepers, size.entries); size.zones];
-        let system = System::new(system::Plan { subnet, zones, relays: true });
+        let system = System::new(system::Layout { subnet, zones, has_relays: true });
         let operators = system.keepers().map(|at| system.operator(at)).collect();
-        let launches = system.nodes.iter().map(|node| Some(node.launches)).collect();
+        let launches = system.instances.iter().map(|instance| Some(instance.launches)).collect();
         Self {
             system,
             size,
@@ -126,24 +126,24 @@
     /// Starts the clients, the reader and the prober.
     fn start_load(&mut self, seed: u64) {
         for zone in 0..self.size.zones {
-            let in_zone = |at: &usize| self.system.nodes[*at].zone == zone;
+            let in_zone = |at: &usize| self.system.instances[*at].zone == zone;
             let entries = self.system.entries().filter(in_zone);
             let entries: Vec<_> = entries.map(|at| self.system.client(at)).collect();
             for number in 0..CLIENTS {
                 let (observed, entries) = (sync::Arc::clone(&self.observed), entries.clone());
                 let seed = seed * 1_000 + (zone * CLIENTS + number) as u64;
-                let client = move || load::client(&observed, seed, &entries, CLIENT_PAUSE);
+                let client = move || load::run_client(&observed, seed, &entries, CLIENT_PAUSE);
                 self.threads.push(thread::spawn(client));
             }
         }
         let (observed, operators) = (sync::Arc::clone(&self.observed), self.operators.clone());
-        self.threads.push(thread::spawn(move || load::reader(&observed, seed, &operators)));
+        self.threads.push(thread::spawn(move || load::run_reader(&observed, seed, &operators)));
         let entries = self.system.entries().map(|at| (at, self.system.client(at)));
         let entries: Vec<_> = entries.collect();
         let (observed, launches) =
             (sync::Arc::clone(&self.observed), sync::Arc::clone(&self.launches));
         self.threads.push(thread::spawn(move || {
-            load::prober(&observed, &entries, &|at| launches.lock().unwrap()[at]);
+            load::run_prober(&observed, &entries, &|at| launches.lock().unwrap()[at]);
         }));
     }
 
@@ -172,16 +172,16 @@
 
     /// Reports and restarts instances whose process ended unexpectedly.
     fn check_exits(&mut self) {
-        for at in 0..self.system.nodes.len() {
+        for at in 0..self.system.instances.len() {
             let stopping =
                 |(_, step): &(Instant, Step)| matches!(step, Step::Restart(a, _) if *a == at);
             let expected = self.scheduled.iter().any(stopping);
-            let Some(child) = &mut self.system.nodes[at].child else { continue };
+            let Some(child) = &mut self.system.instances[at].child else { continue };
             if !expected && let Ok(Some(status)) = child.try_wait() {
-                self.observed.violation(format!(
+                self.observed.record_violation(format!(
                     "the process of instance {at} ended unexpectedly: {status}"
                 ));
-                self.system.nodes[at].child = None;
+                self.system.instances[at].child = None;
                 self.scheduled.push((Instant::now(), Step::Start(at)));
             }
         }
@@ -199,7 +199,7 @@
 
     /// Submits a job whose task crashes upstreams; the test does not check the answer.
     fn submit_fatal(&mut self, zone: usize) {
-        let entries = self.system.entries().filter(|at| self.system.nodes[*at].zone == zone);
+        let entries = self.system.entries().filter(|at| self.system.instances[*at].zone == zone);
         let entries: Vec<_> = entries.collect();
         let entry = entries[self.rng.random_range(0..entries.len())];
         let id = self.rng.random::<u64>();
@@ -214,15 +214,15 @@
     /// Whether an instance runs, is not suspended and has received no SIGTERM.
     fn is_up(&self, at: usize) -> bool {
         let pending = |(_, step): &(Instant, Step)| match step {
-            Step::Start(other) | Step::Restart(other, _) | Step::Continue(other) => *other == at,
+            Step::Start(other) | Step::Restart(other, _) | Step::Resume(other) => *other == at,
             _ => false,
         };
-        self.system.nodes[at].child.is_some() && !self.scheduled.iter().any(pending)
+        self.system.instances[at].child.is_some() && !self.scheduled.iter().any(pending)
     }
 
     fn start(&mut self, at: usize) {
         self.system.start(at);
-        self.launches.lock().unwrap()[at] = Some(self.system.nodes[at].launches);
+        self.launches.lock().unwrap()[at] = Some(self.system.instances[at].launches);
     }
 
     fn kill_each(&mut self, all: &[usize], down: Duration) {
@@ -238,7 +238,7 @@
         }
         self.launches.lock().unwrap()[at] = None;
         self.system.kill(at);
-        self.system.write_settings(at, false, &json!({}));
+        self.system.write_boot_file(at, false, &json!({}));
         self.scheduled.push((Instant::now() + down, Step::Start(at)));
         true
     }
@@ -249,7 +249,7 @@
             let now = Instant::now();
             self.disturbed.push((now, now + time));
         }
-        let all: Vec<_> = (0..self.system.nodes.len()).collect();
+        let all: Vec<_> = (0..self.system.instances.len()).collect();
         match fault {
             Fault::Kill(at, down) => self.kill_each(&[at], down),
             Fault::KillKeepers(down) => {
@@ -262,16 +262,16 @@
                 self.scheduled
                     .push((Instant::now(), Step::Restart(at, Instant::now() + STOP_LIMIT)));
             }
-            Fault::Freeze(at, time) if self.is_up(at) => {
+            Fault::Suspend(at, time) if self.is_up(at) => {
                 self.system.signal(at, "-STOP");
-                self.scheduled.push((Instant::now() + time, Step::Continue(at)));
+                self.scheduled.push((Instant::now() + time, Step::Resume(at)));
             }
             Fault::Hup(at, times) if self.is_up(at) => {
                 for _ in 0..times {
                     self.system.signal(at, "-HUP");
                 }
             }
-            Fault::Term(_) | Fault::Freeze(..) | Fault::Hup(..) => {}
+            Fault::Term(_) | Fault::Suspend(..) | Fault::Hup(..) => {}
             Fault::Wipe(at) => {
                 if self.kill(at, Duration::from_millis(500)) {
                     fs::remove_dir_all(self.system.data_folder(at)).unwrap();
@@ -284,19 +284,19 @@
             }
             Fault::ClockSkew(at, offset) => {
                 if self.kill(at, Duration::from_millis(100)) {
-                    self.system.write_settings(at, false, &json!({"clock_offset_ms": offset}));
+                    self.system.write_boot_file(at, false, &json!({"clock_offset_ms": offset}));
                 }
             }
             Fault::BlockOneWay(from, to, time) => self.block(&[from], &[to], time),
             Fault::Isolate(at, time) => self.isolate(&[at], time),
             Fault::IsolateZone(zone, time) => {
                 let inside: Vec<_> =
-                    all.into_iter().filter(|at| self.system.nodes[*at].zone == zone).collect();
+                    all.into_iter().filter(|at| self.system.instances[*at].zone == zone).collect();
                 self.isolate(&inside, time);
             }
             Fault::Delay(at, latency, time) => {
                 for to in all {
-                    self.system.faults.delay(at, to, latency);
+                    self.system.faults.set_delay(at, to, latency);
                 }
                 self.scheduled.push((Instant::now() + time, Step::EndDelay(at)));
             }
@@ -338,11 +338,11 @@
         match step {
             Step::Start(at) => self.start(at),
             Step::Restart(at, until) => self.restart(at, until),
-            Step::Continue(at) => self.system.signal(at, "-CONT"),
-            Step::Unblock(from, to) => self.system.faults.block(from, to, false),
+            Step::Resume(at) => self.system.signal(at, "-CONT"),
+            Step::Unblock(from, to) => self.system.faults.set_blocked(from, to, false),
             Step::EndDelay(at) => {
-                for to in 0..self.system.nodes.len() {
-                    self.system.faults.delay(at, to, Duration::ZERO);
+                for to in 0..self.system.instances.len() {
+                    self.system.faults.set_delay(at, to, Duration::ZERO);
                 }
             }
             Step::ResetBehavior(upstream) => {
@@ -367,19 +367,21 @@
 
     /// Starts an instance again once its process has ended after SIGTERM.
     fn restart(&mut self, at: usize, until: Instant) {
-        let child = self.system.nodes[at].child.as_mut().unwrap();
+        let child = self.system.instances[at].child.as_mut().unwrap();
         match child.try_wait().unwrap() {
             Some(status) => {
                 if !status.success() {
-                    self.observed
-                        .violation(format!("instance {at} ended after SIGTERM with {status}"));
+                    self.observed.record_violation(format!(
+                        "instance {at} ended after SIGTERM with {status}"
+                    ));
                 }
                 self.launches.lock().unwrap()[at] = None;
-                self.system.write_settings(at, false, &json!({}));
+                self.system.write_boot_file(at, false, &json!({}));
                 self.start(at);
             }
             None if Instant::now() > until => {
-                self.observed.violation(format!("instance {at} did not end in time after SIGTERM"));
+                self.observed
+                    .record_violation(format!("instance {at} did not end in time after SIGTERM"));
                 self.system.kill(at);
                 self.start(at);
             }
@@ -402,7 +404,7 @@
     }
 
     fn isolate(&mut self, inside: &[usize], time: Duration) {
-        let all = 0..self.system.nodes.len();
+        let all = 0..self.system.instances.len();
         let outside: Vec<_> = all.filter(|at| !inside.contains(at)).collect();
         self.block(inside, &outside, time);
         self.block(&outside, inside, time);
@@ -411,7 +413,7 @@
     fn block(&mut self, from: &[usize], to: &[usize], time: Duration) {
         for a in from {
             for b in to.iter().filter(|b| *b != a) {
-                self.system.faults.block(*a, *b, true);
+                self.system.faults.set_blocked(*a, *b, true);
                 self.scheduled.push((Instant::now() + time, Step::Unblock(*a, *b)));
             }
         }
@@ -459,11 +461,11 @@
     }
 
     fn finish(mut self, seed: u64, recovered: Instant) {
-        let newest = self.observed.acknowledged(Instant::now());
+        let newest = self.observed.acknowledged_version(Instant::now());
         for at in self.system.keepers().collect::<Vec<_>>() {
             let (status, config) = self.system.read_config(at);
             if status != 200 || config["Version"].as_u64() < Some(newest) {
-                self.observed.violation(format!(
+                self.observed.record_violation(format!(
                     "keeper {at} answered {status} {config}, expected version {newest} or later"
                 ));
             }
@@ -486,7 +488,7 @@
         let requests = self.observed.requests.lock().unwrap().clone();
         let (complete, all) = judge::count_complete(&requests, recovered);
         if complete * 100 < all * 95 || all == 0 {
-            self.observed.violation(format!(
+            self.observed.record_violation(format!(
                 "{complete} of {all} requests were complete after the recovery"
             ));
         }
--- a/crates/apricotroute/tests/system/mod.rs
+++ b/crates/apricotroute/tests/system/mod.rs
@@ -1,6 +1,6 @@
 //! Starts a system of real processes that serves the platform's calls: keepers, entries and
-//! stand-in upstreams, each with its own loopback address. A [`Plan`] may place relays between the
-//! instances.
+//! stand-in upstreams, each with its own loopback address. A [`Layout`] may place relays between
+//! the instances.
 #![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod relay;
@@ -21,30 +21,30 @@
 /// CPU of each upstream, in thousandths of a core, which is enough for two tasks.
 pub const UPSTREAM_CPU: u64 = 32_000;
 
-const CLIENT: u16 = 7101;
-const READY: u16 = 7102;
-const OPERATOR: u16 = 7103;
-const METRICS: u16 = 9464;
-const PEER: u16 = 7301;
-/// The port on which an instance listens for its peers while a relay listens on its [`PEER`] port.
-const RELAYED_PEER: u16 = 7401;
+const CLIENT_PORT: u16 = 7101;
+const READY_PORT: u16 = 7102;
+const OPERATOR_PORT: u16 = 7103;
+const METRICS_PORT: u16 = 9464;
+const PEER_PORT: u16 = 7301;
+/// The port on which an instance listens for its peers while a relay listens on its [`PEER_PORT`].
+const RELAYED_PEER_PORT: u16 = 7401;
 
 /// The layout of a system.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Layout {
     /// The third byte of all addresses, which keeps the systems of one test run apart.
     pub subnet: u8,
     /// The numbers of keepers and entries in each availability zone.
     pub zones: Vec<(usize, usize)>,
     /// Whether the instances reach each other through relays.
-    pub relays: bool,
+    pub has_relays: bool,
 }
 
 /// One instance.
 #[derive(Debug)]
-pub struct Node {
+pub struct Instance {
     pub zone: usize,
-    pub keeper: bool,
+    pub is_keeper: bool,
     pub child: Option<process::Child>,
     /// The number of processes started for this instance so far.
     pub launches: u32,
@@ -54,11 +54,11 @@
 #[derive(Debug)]
 pub struct System {
     pub folder: tempfile::TempDir,
-    pub nodes: Vec<Node>,
+    pub instances: Vec<Instance>,
     pub runtime: tokio::runtime::Runtime,
     pub upstreams: Vec<platform::standin::Standin>,
     pub faults: sync::Arc<relay::Faults>,
-    plan: Plan,
+    layout: Layout,
     block: AddressBlock,
 }
 
@@ -86,41 +86,47 @@
 
 impl System {
     /// Starts all instances.
-    pub fn new(plan: Plan) -> Self {
+    pub fn new(layout: Layout) -> Self {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
             .build()
             .unwrap();
-        let mut nodes = Vec::new();
-        for (zone, (keepers, entries)) in plan.zones.iter().enumerate() {
+        let mut instances = Vec::new();
+        for (zone, (keepers, entries)) in layout.zones.iter().enumerate() {
             for at in 0..keepers + entries {
-                nodes.push(Node { zone, keeper: at < *keepers, child: None, launches: 0 });
+                instances.push(Instance {
+                    zone,
+                    is_keeper: at < *keepers,
+                    child: None,
+                    launches: 0,
+                });
             }
         }
         let folder = tempfile::tempdir().unwrap();
         let faults = sync::Arc::default();
-        let (upstreams, block) = (Vec::new(), AddressBlock::reserve(plan.subnet));
-        let mut system = Self { folder, nodes, runtime, upstreams, faults, plan, block };
-        for at in 0..system.nodes.len() {
-            system.write_settings(at, true, &json!({}));
-            if system.plan.relays {
+        let (upstreams, block) = (Vec::new(), AddressBlock::reserve(layout.subnet));
+        let mut system = Self { folder, instances, runtime, upstreams, faults, layout, block };
+        for at in 0..system.instances.len() {
+            system.write_boot_file(at, true, &json!({}));
+            if system.layout.has_relays {
                 system.start_relay(at);
             }
         }
-        for at in 0..system.nodes.len() {
+        for at in 0..system.instances.len() {
             system.start(at);
         }
         system
     }
 
     fn start_relay(&self, at: usize) {
-        let (near, address) = (self.address(at, PEER), self.address(at, RELAYED_PEER));
-        let peers = (0..self.nodes.len()).map(|at| self.address(at, PEER).to_string()).collect();
+        let (listen, address) = (self.address(at, PEER_PORT), self.address(at, RELAYED_PEER_PORT));
+        let peers =
+            (0..self.instances.len()).map(|at| self.address(at, PEER_PORT).to_string()).collect();
         let faults = sync::Arc::clone(&self.faults);
         relay::Relay::open(
             &self.runtime,
-            near,
+            listen,
             relay::Target { address, index: at, peers, faults },
         );
     }
@@ -144,30 +150,38 @@
 
     /// The indices of the keepers.
     pub fn keepers(&self) -> impl Iterator<Item = usize> {
-        self.nodes.iter().enumerate().filter(|(_, node)| node.keeper).map(|(at, _)| at)
+        self.instances
+            .iter()
+            .enumerate()
+            .filter(|(_, instance)| instance.is_keeper)
+            .map(|(at, _)| at)
     }
 
     /// The indices of the entries.
     pub fn entries(&self) -> impl Iterator<Item = usize> {
-        self.nodes.iter().enumerate().filter(|(_, node)| !node.keeper).map(|(at, _)| at)
+        self.instances
+            .iter()
+            .enumerate()
+            .filter(|(_, instance)| !instance.is_keeper)
+            .map(|(at, _)| at)
     }
 
     /// The address of an entry for clients.
     pub fn client(&self, at: usize) -> net::SocketAddr {
-        self.address(at, CLIENT)
+        self.address(at, CLIENT_PORT)
     }
 
     /// The address of a keeper for operators and upstreams.
     pub fn operator(&self, at: usize) -> net::SocketAddr {
-        self.address(at, OPERATOR)
+        self.address(at, OPERATOR_PORT)
     }
 
     fn address(&self, at: usize, port: u16) -> net::SocketAddr {
-        net::SocketAddr::from(([127, self.block.byte, self.plan.subnet, at as u8 + 1], port))
+        net::SocketAddr::from(([127, self.block.byte, self.layout.subnet, at as u8 + 1], port))
     }
 
     /// The path of the bootstrap file of an instance.
-    pub fn settings_file(&self, at: usize) -> path::PathBuf {
+    pub fn boot_file(&self, at: usize) -> path::PathBuf {
         self.folder.path().join(format!("{at}.json"))
     }
 
@@ -177,31 +191,31 @@
     }
 
     /// Writes the bootstrap file of an instance; the keys of `extra` add to or replace the others.
-    pub fn write_settings(&self, at: usize, first: bool, extra: &Value) {
+    pub fn write_boot_file(&self, at: usize, is_first: bool, extra: &Value) {
         let seeds: Vec<_> = self.keepers().take(3).map(|at| self.operator(at)).collect();
         let mut settings = json!({
             "instance": format!("node-{at}"),
-            "availability_zone": zone_name(self.nodes[at].zone),
-            "peer_address": self.address(at, PEER),
-            "metrics_address": self.address(at, METRICS),
+            "availability_zone": zone_name(self.instances[at].zone),
+            "peer_address": self.address(at, PEER_PORT),
+            "metrics_address": self.address(at, METRICS_PORT),
             "seeds": seeds,
-            "first_start": first,
+            "first_start": is_first,
         });
-        if self.plan.relays {
-            settings["peer_listen"] = json!(self.address(at, RELAYED_PEER));
+        if self.layout.has_relays {
+            settings["peer_listen"] = json!(self.address(at, RELAYED_PEER_PORT));
         }
-        if self.nodes[at].keeper {
+        if self.instances[at].is_keeper {
             settings["role"] = "keeper".into();
             settings["operator_address"] = json!(self.operator(at));
             settings["data_folder"] = json!(self.data_folder(at));
         } else {
             settings["role"] = "entry".into();
             settings["client_address"] = json!(self.client(at));
-            settings["ready_address"] = json!(self.address(at, READY));
+            settings["ready_address"] = json!(self.address(at, READY_PORT));
         }
         let map = settings.as_object_mut().unwrap();
         map.extend(extra.as_object().cloned().unwrap_or_default());
-        fs::write(self.settings_file(at), settings.to_string()).unwrap();
+        fs::write(self.boot_file(at), settings.to_string()).unwrap();
     }
 
     /// Starts the process of an instance.
@@ -210,36 +224,36 @@
         let log = fs::OpenOptions::new().append(true).create(true).open(log).unwrap();
         let child = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
             .args(["node", "--settings"])
-            .arg(self.settings_file(at))
+            .arg(self.boot_file(at))
             .stdout(log.try_clone().unwrap())
             .stderr(log)
             .spawn()
             .unwrap();
-        self.nodes[at].child = Some(child);
-        self.nodes[at].launches += 1;
+        self.instances[at].child = Some(child);
+        self.instances[at].launches += 1;
     }
 
     /// Starts the process of an instance with its standard output on a pipe that is never read.
     pub fn start_unread(&mut self, at: usize) {
         let child = process::Command::new(env!("CARGO_BIN_EXE_apricotroute"))
             .args(["node", "--settings"])
-            .arg(self.settings_file(at))
+            .arg(self.boot_file(at))
             .stdout(process::Stdio::piped())
             .spawn()
             .unwrap();
-        self.nodes[at].child = Some(child);
-        self.nodes[at].launches += 1;
+        self.instances[at].child = Some(child);
+        self.instances[at].launches += 1;
     }
 
     /// Sends a signal to a process of this system.
     pub fn signal(&self, at: usize, signal: &str) {
-        let id = self.nodes[at].child.as_ref().unwrap().id().to_string();
+        let id = self.instances[at].child.as_ref().unwrap().id().to_string();
         assert!(process::Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
     /// Kills the process of an instance with SIGKILL and waits until it has ended.
     pub fn kill(&mut self, at: usize) {
-        let mut child = self.nodes[at].child.take().unwrap();
+        let mut child = self.instances[at].child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
@@ -257,7 +271,7 @@
 
     /// The value of the first metric of an instance that has this name and contains these labels.
     pub fn metric(&self, at: usize, name: &str, labels: &[&str]) -> Option<f64> {
-        let url = format!("http://{}/metrics", self.address(at, METRICS));
+        let url = format!("http://{}/metrics", self.address(at, METRICS_PORT));
         let text = agent().get(url).call().ok()?.body_mut().read_to_string().ok()?;
         let prefix = format!("apricotroute_{name}{{");
         let matches = |line: &&str| {
@@ -268,13 +282,13 @@
 
     /// Whether an entry reports that it accepts clients.
     pub fn is_ready(&self, at: usize) -> bool {
-        get(&format!("http://{}/apricotroute/ready", self.address(at, READY))).0 == 200
+        get(&format!("http://{}/apricotroute/ready", self.address(at, READY_PORT))).0 == 200
     }
 
     /// Waits until all entries accept clients.
     pub fn wait_ready(&self) {
         for at in self.entries() {
-            eventually(&format!("entry {at} is ready"), || self.is_ready(at));
+            wait_until(&format!("entry {at} is ready"), || self.is_ready(at));
         }
     }
 
@@ -292,7 +306,7 @@
 
 impl Drop for System {
     fn drop(&mut self) {
-        for child in self.nodes.iter_mut().filter_map(|node| node.child.as_mut()) {
+        for child in self.instances.iter_mut().filter_map(|instance| instance.child.as_mut()) {
             // The process may have ended already.
             drop(child.kill());
             drop(child.wait());
@@ -360,11 +374,11 @@
     }
 }
 
-/// Waits until `check` returns true, and panics with `what` after 15 s.
-pub fn eventually(what: &str, mut check: impl FnMut() -> bool) {
+/// Waits until `check` returns true, and panics with `description` after 15 s.
+pub fn wait_until(description: &str, mut check: impl FnMut() -> bool) {
     let until = Instant::now() + Duration::from_secs(15);
     while !check() {
-        assert!(Instant::now() < until, "{what}");
+        assert!(Instant::now() < until, "{description}");
         thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/apricotroute/tests/system/relay.rs
+++ b/crates/apricotroute/tests/system/relay.rs
@@ -27,7 +27,8 @@
     closed: Mutex<collections::BTreeMap<usize, u64>>,
     /// Streams of an instance whose number is below this one carry no more traffic.
     blackholed: Mutex<collections::BTreeMap<usize, u64>>,
-    streams: atomic::AtomicU64,
+    /// The number of the next stream.
+    next_number: atomic::AtomicU64,
 }
 
 impl Default for Faults {
@@ -38,7 +39,7 @@
             delays: Mutex::default(),
             closed: Mutex::default(),
             blackholed: Mutex::default(),
-            streams: atomic::AtomicU64::default(),
+            next_number: atomic::AtomicU64::default(),
         }
     }
 }
@@ -49,9 +50,9 @@
     }
 
     /// Blocks or unblocks the traffic from one instance to another.
-    pub fn block(&self, from: usize, to: usize, on: bool) {
+    pub fn set_blocked(&self, from: usize, to: usize, is_blocked: bool) {
         let mut blocked = self.blocked.lock().unwrap();
-        if on {
+        if is_blocked {
             blocked.insert((from, to));
         } else {
             blocked.remove(&(from, to));
@@ -61,20 +62,20 @@
     }
 
     /// Delays the traffic from one instance to another.
-    pub fn delay(&self, from: usize, to: usize, time: Duration) {
+    pub fn set_delay(&self, from: usize, to: usize, time: Duration) {
         self.delays.lock().unwrap().insert((from, to), time);
     }
 
     /// Closes all current streams of an instance; new ones work.
     pub fn reset(&self, at: usize) {
-        self.closed.lock().unwrap().insert(at, self.streams.load(atomic::Ordering::SeqCst));
+        self.closed.lock().unwrap().insert(at, self.next_number.load(atomic::Ordering::SeqCst));
         self.notify();
     }
 
     /// Stops the traffic of all current streams of an instance for good and leaves them open; new
     /// streams work.
     pub fn blackhole(&self, at: usize) {
-        self.blackholed.lock().unwrap().insert(at, self.streams.load(atomic::Ordering::SeqCst));
+        self.blackholed.lock().unwrap().insert(at, self.next_number.load(atomic::Ordering::SeqCst));
         self.notify();
     }
 
@@ -144,7 +145,7 @@
     if inbound.set_nodelay(true).and(outbound.set_nodelay(true)).is_err() {
         return;
     }
-    let number = target.faults.streams.fetch_add(1, atomic::Ordering::SeqCst);
+    let number = target.faults.next_number.fetch_add(1, atomic::Ordering::SeqCst);
     let stream = Stream { number, dialer: atomic::AtomicUsize::new(UNKNOWN) };
     let ((dialer_in, dialer_out), (target_in, target_out)) =
         (inbound.into_split(), outbound.into_split());
@@ -200,7 +201,7 @@
     }
 }
 
-/// Finds the address of the instance that dialed in the first message of a stream.
+/// Identifies the instance that dialed by its address in the first message of a stream.
 fn identify(bytes: &[u8], stream: &Stream, target: &Target) {
     if stream.dialer.load(atomic::Ordering::SeqCst) != UNKNOWN {
         return;
--- a/crates/apricotroute/tests/upstream_troubles.rs
+++ b/crates/apricotroute/tests/upstream_troubles.rs
@@ -5,7 +5,7 @@
 use std::{net, thread, time::Duration};
 
 use serde_json::{Value, json};
-use system::{System, config, eventually, job};
+use system::{System, config, job, wait_until};
 
 const KEEPERS: usize = 3;
 /// Index of the entry, which follows the keepers.
@@ -16,13 +16,14 @@
 /// Starts a system of one zone and waits until it serves jobs; `subnet` distinguishes the systems
 /// of this file.
 fn system(subnet: u8) -> System {
-    let mut system = System::new(system::Plan { subnet, zones: vec![(KEEPERS, 1)], relays: false });
+    let mut system =
+        System::new(system::Layout { subnet, zones: vec![(KEEPERS, 1)], has_relays: false });
     for at in 0..UPSTREAMS {
         system.add_upstream(&format!("i-{at}"), 0, None);
     }
-    eventually("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
+    wait_until("a keeper accepts the configuration", || system.publish(0, &config(3)) == 200);
     system.wait_ready();
-    eventually("all upstreams are known", || system.submit(ENTRY, &id(0), 8).0 == 200);
+    wait_until("all upstreams are known", || system.submit(ENTRY, &id(0), 8).0 == 200);
     system
 }
 
@@ -74,17 +75,20 @@
             let same_address = system.upstreams.iter().filter(|other| other.address() == address);
             if system.upstreams[at].has_crashed() && same_address.count() == 1 {
                 system.upstreams[at].crash();
-                // The listener of the crashed upstream closes on a thread of its own.
+                // The listener of the crashed upstream closes on another thread.
                 let is_free = || net::TcpListener::bind(address).is_ok();
-                eventually("its address is free", is_free);
+                wait_until("the address of the crashed upstream is free", is_free);
                 system.add_upstream(&format!("j-{at}"), 0, Some(address));
             }
         }
     }
     let name = format!("{}.0.0.0", id(1_000));
-    let of_task = |run: &platform::standin::RunRecord| run.task == name;
-    let starts: usize =
-        system.upstreams.iter().map(|up| up.history().iter().filter(|p| of_task(p)).count()).sum();
+    let is_fatal = |run: &platform::standin::RunRecord| run.task == name;
+    let starts: usize = system
+        .upstreams
+        .iter()
+        .map(|up| up.history().iter().filter(|run| is_fatal(run)).count())
+        .sum();
     assert!((2..=3).contains(&starts), "the task started {starts} times");
     assert_eq!(answer.join().unwrap(), (200, json!({"State": "failed"})));
     for other in others {
--- a/crates/apricotroute/tests/whole_path.rs
+++ b/crates/apricotroute/tests/whole_path.rs
@@ -2,15 +2,19 @@
 
 mod harness;
 
-use harness::{Plan, SERVICE, check::Answers, eventually, job, new_job_id, post, sleep_ms};
+use harness::{
+    ClusterConfig, SERVICE, check::Answers, eventually, job, new_job_id, post, sleep_ms,
+};
 use serde_json::json;
 
 #[test]
 fn large_job() {
-    let cluster = Plan::new(3).start();
+    let cluster = ClusterConfig::new(3).start();
     cluster.create_service();
-    let upstreams =
-        [cluster.upstream("u1", "west", &[0], &[]), cluster.upstream("u2", "west", &[1], &[])];
+    let upstreams = [
+        cluster.start_upstream("u1", "west", &[0], &[]),
+        cluster.start_upstream("u2", "west", &[1], &[]),
+    ];
     cluster.wait_upstreams("west", 2);
 
     let id = new_job_id("west");
@@ -40,17 +44,17 @@
 fn no_deadline() {
     // A job without a deadline gets the deadline of its service, also when a client submits it
     // again.
-    let cluster = Plan::new(3).start();
+    let cluster = ClusterConfig::new(3).start();
     cluster.create_service();
-    let upstream = cluster.upstream("u1", "west", &[0], &["--service-ms", "2500"]);
+    let upstream = cluster.start_upstream("u1", "west", &[0], &["--service-ms", "2500"]);
     cluster.wait_upstreams("west", 1);
     let id = new_job_id("west");
     let mut spec = job(&id, 2, 1);
     spec.as_object_mut().unwrap().remove("deadline_ms");
-    let (to, first) = (cluster.nodes[0].client, spec.clone());
+    let (to, first) = (cluster.instances[0].client, spec.clone());
     let first = std::thread::spawn(move || post(to, "/v1/jobs", &first));
     assert!(eventually(2_000, || upstream.starts().len() == 2));
-    // By now every instance has learned of the job from the journal.
+    // The pause lets every instance receive the journal entry of the job.
     sleep_ms(400);
     let (status, body) = cluster.submit(1, &spec);
     assert_eq!(status, 200, "{body}");
@@ -59,11 +63,11 @@
 
 #[test]
 fn all_requests() {
-    let cluster = Plan::new(1).start();
+    let cluster = ClusterConfig::new(1).start();
     cluster.create_service();
-    let _upstream = cluster.upstream("u1", "west", &[0], &[]);
+    let _upstream = cluster.start_upstream("u1", "west", &[0], &[]);
     cluster.wait_upstreams("west", 1);
-    let to = cluster.nodes[0].client;
+    let to = cluster.instances[0].client;
     for idempotent in ["true", "false"] {
         let response = ureq::post(format!("http://{to}/v1/requests/{SERVICE}"))
             .header("Content-Type", "text/plain")
--- a/crates/apricotroute/tests/zone_faults.rs
+++ b/crates/apricotroute/tests/zone_faults.rs
@@ -1,17 +1,18 @@
-//! Whole zones that restart without their memory, or that are cut off from the other zones.
+//! Whole zones that lose their in-memory state in a restart, or that are cut off from the other
+//! zones.
 
 mod harness;
 
 use std::time;
 
-use harness::{Plan, check::Answers, eventually, job, new_job_id, sleep_ms};
+use harness::{ClusterConfig, check::Answers, eventually, job, new_job_id, sleep_ms};
 use serde_json::json;
 
 #[test]
 fn memory_lost() {
-    let mut cluster = Plan::new(3).start();
+    let mut cluster = ClusterConfig::new(3).start();
     cluster.create_service();
-    let upstreams = [cluster.upstream("u1", "west", &[0, 1, 2], &[])];
+    let upstreams = [cluster.start_upstream("u1", "west", &[0, 1, 2], &[])];
     cluster.wait_upstreams("west", 1);
     let mut answers = Answers::default();
     let id = new_job_id("west");
@@ -27,7 +28,7 @@
     }
     cluster.wait_ready();
     cluster.wait_upstreams("west", 1);
-    // Neither the id that already ran nor an unused id of the same age is ever run.
+    // Neither the job that already ran nor a job with an unused id of the same age runs.
     for id in [&id, &unused] {
         for at in 0..3 {
             let (status, body) = cluster.submit(at, &job(id, 4, 10_000));
@@ -44,10 +45,12 @@
 
 #[test]
 fn cut_off() {
-    let cluster = Plan::with_zones(&[("west", 2), ("mid", 2), ("east", 3)]).start();
+    let cluster = ClusterConfig::with_zones(&[("west", 2), ("mid", 2), ("east", 3)]).start();
     cluster.create_service();
-    let upstreams =
-        [cluster.upstream("u1", "west", &[0, 1], &[]), cluster.upstream("u2", "mid", &[2, 3], &[])];
+    let upstreams = [
+        cluster.start_upstream("u1", "west", &[0, 1], &[]),
+        cluster.start_upstream("u2", "mid", &[2, 3], &[]),
+    ];
     cluster.wait_upstreams("west", 1);
     cluster.wait_upstreams("mid", 1);
     let mut answers = Answers::default();
@@ -57,7 +60,7 @@
     assert_eq!(status, 200, "{body}");
     answers.record(&id, 3, &body);
 
-    cluster.isolate(&[0, 1], true);
+    cluster.set_isolated(&[0, 1], true);
     sleep_ms(2_500);
     // The isolated zone still runs its own jobs, at both of its instances.
     for at in [0, 1] {
@@ -79,16 +82,18 @@
     assert_eq!(status, 200, "{body}");
     answers.record(&id, 3, &body);
 
-    // The majority still accepts settings changes; the other side refuses them truthfully.
-    let (status, body) = cluster.set(2, "ireland", &json!({"values": {"max_queue": 7}}));
+    // The majority still accepts settings changes; the isolated zone answers them with `unknown`.
+    let (status, body) =
+        cluster.change_settings(2, "ireland", &json!({"values": {"max_queue": 7}}));
     assert_eq!(status, 200, "{body}");
     let version = body["version"].as_u64().unwrap();
-    let (status, body) = cluster.set(1, "ireland", &json!({"values": {"max_queue": 8}}));
+    let (status, body) =
+        cluster.change_settings(1, "ireland", &json!({"values": {"max_queue": 8}}));
     assert_eq!((status, &body["state"]), (503, &json!("unknown")), "{body}");
-    let (_, before) = harness::get(cluster.nodes[0].operator, "/v1/settings/").unwrap();
+    let (_, before) = harness::get(cluster.instances[0].operator, "/v1/settings/").unwrap();
     assert!(before["version"].as_u64().unwrap() < version);
 
-    cluster.isolate(&[0, 1], false);
+    cluster.set_isolated(&[0, 1], false);
     cluster.wait_version(version);
     let healed = || cluster.submit(5, &job(&new_job_id("west"), 2, 5_000)).0 == 200;
     assert!(eventually(8_000, healed));
@@ -98,14 +103,14 @@
 #[test]
 fn served_abroad() {
     // The home zone has no upstream: if the settings allow it, another zone runs the job, once.
-    let cluster = Plan::with_zones(&[("west", 2), ("mid", 1)]).start();
+    let cluster = ClusterConfig::with_zones(&[("west", 2), ("mid", 1)]).start();
     cluster.create_service();
-    let upstreams = [cluster.upstream("u1", "mid", &[2], &[])];
+    let upstreams = [cluster.start_upstream("u1", "mid", &[2], &[])];
     cluster.wait_upstreams("mid", 1);
     let (status, body) = cluster.submit(0, &job(&new_job_id("west"), 3, 3_000));
     assert_eq!((status, &body["state"]), (503, &json!("not_run")), "{body}");
     let allow = json!({"values": {"cross_zone": true}});
-    let (_, body) = cluster.set(0, harness::SERVICE, &allow);
+    let (_, body) = cluster.change_settings(0, harness::SERVICE, &allow);
     cluster.wait_version(body["version"].as_u64().unwrap());
     let mut answers = Answers::default();
     for at in [0, 1] {
@@ -121,11 +126,11 @@
     answers.verify(&upstreams);
     // When the zone that runs the job becomes unreachable, no task is run again.
     let id = new_job_id("west");
-    cluster.isolate(&[2], true);
+    cluster.set_isolated(&[2], true);
     let (status, body) = cluster.submit(0, &job(&id, 3, 4_000));
     assert!(matches!(status, 502..=504), "{body}");
     answers.record(&id, 3, &body);
-    cluster.isolate(&[2], false);
+    cluster.set_isolated(&[2], false);
     sleep_ms(1_500);
     answers.verify(&upstreams);
 }
@@ -133,20 +138,22 @@
 #[test]
 fn restarted_while_cut() {
     // An instance without a disk restarts while its zone has no voter of the settings group.
-    let mut cluster = Plan::with_zones(&[("mid", 1), ("west", 3)]).with_disks(1).start();
+    let mut cluster = ClusterConfig::with_zones(&[("mid", 1), ("west", 3)]).with_disks(1).start();
     cluster.create_service();
-    let _upstream = cluster.upstream("u1", "west", &[1, 2], &[]);
+    let _upstream = cluster.start_upstream("u1", "west", &[1, 2], &[]);
     cluster.wait_upstreams("west", 1);
     // Only mid-1 and west-1 have disks, so that mid-1 is the only voter.
-    cluster.isolate(&[0], true);
+    cluster.set_isolated(&[0], true);
     cluster.kill(3);
     cluster.start(3);
-    let ready = || harness::get(cluster.nodes[3].operator, "/readyz").is_some_and(|r| r.0 == 200);
+    let ready =
+        || harness::get(cluster.instances[3].operator, "/readyz").is_some_and(|r| r.0 == 200);
     assert!(eventually(10_000, ready));
     let served = || cluster.submit(3, &job(&new_job_id("west"), 2, 3_000)).0 == 200;
     assert!(eventually(3_000, served));
-    cluster.isolate(&[0], false);
-    let (status, body) = cluster.set(1, "ireland", &json!({"values": {"max_queue": 7}}));
+    cluster.set_isolated(&[0], false);
+    let (status, body) =
+        cluster.change_settings(1, "ireland", &json!({"values": {"max_queue": 7}}));
     assert_eq!(status, 200, "{body}");
     cluster.wait_version(2);
 }
@@ -155,9 +162,9 @@
 fn one_of_two() {
     // A zone of two instances survives the loss of either, because another zone has a witness.
     for lost in [0, 1] {
-        let mut cluster = Plan::with_zones(&[("west", 2), ("mid", 1)]).start();
+        let mut cluster = ClusterConfig::with_zones(&[("west", 2), ("mid", 1)]).start();
         cluster.create_service();
-        let upstreams = [cluster.upstream("u1", "west", &[1 - lost], &[])];
+        let upstreams = [cluster.start_upstream("u1", "west", &[1 - lost], &[])];
         cluster.wait_upstreams("west", 1);
         cluster.kill(lost);
         let mut answers = Answers::default();
@@ -172,13 +179,13 @@
 #[test]
 fn abroad_from_anywhere() {
     // Zones large enough to need no witness have no steady traffic between them.
-    let cluster = Plan::with_zones(&[("west", 3), ("mid", 3)]).start();
+    let cluster = ClusterConfig::with_zones(&[("west", 3), ("mid", 3)]).start();
     let allow = json!({"values": {"cross_zone": true}});
-    let (status, body) = cluster.set(0, harness::SERVICE, &allow);
+    let (status, body) = cluster.change_settings(0, harness::SERVICE, &allow);
     assert_eq!(status, 200, "{body}");
     cluster.wait_version(1);
     // The leader of the settings group receives messages from all instances; the other five do not.
-    let _upstream = cluster.upstream("u1", "west", &[0, 1, 2], &[]);
+    let _upstream = cluster.start_upstream("u1", "west", &[0, 1, 2], &[]);
     cluster.wait_upstreams("west", 1);
     sleep_ms(3_000);
     for at in 3..6 {
--- a/crates/link/tests/listener.rs
+++ b/crates/link/tests/listener.rs
@@ -1,8 +1,8 @@
 //! Many clients connect at once while the instance is too busy to accept connections.
 //!
 //! This guards against answers that are 1 s late when some hundred connections arrive at once. With
-//! a backlog of 128 connections the system drops the next one, and its client retries after 1 s.
-//! With 400 connections in a row to one entry the system counted one drop in most runs
+//! a backlog of 128 connections the kernel drops the next one, and its client retries after 1 s.
+//! With 400 connections in a row to one entry the kernel counted one drop in most runs
 //! (`ListenOverflows`), and a request was answered 1.127 s after it was sent instead of 0.13 s.
 
 use std::{
@@ -15,7 +15,7 @@
 /// Number of clients. It exceeds the number of connections that arrive while a busy instance
 /// accepts none.
 const CLIENTS: usize = 600;
-/// Timeout of a client. It is shorter than the 1 s after which the system retries a connection
+/// Timeout of a client. It is shorter than the 1 s after which the kernel retries a connection
 /// attempt.
 const TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
--- a/crates/link/tests/redial.rs
+++ b/crates/link/tests/redial.rs
@@ -17,7 +17,7 @@
 /// when attempts were 100 ms apart.
 const MAX_DELAY: time::Duration = time::Duration::from_millis(50);
 /// Number of measurements. The fastest one counts, because the machine may be busy.
-const ATTEMPTS: usize = 5;
+const MEASUREMENTS: usize = 5;
 
 struct Inbox(crossbeam_channel::Sender<()>);
 
@@ -34,7 +34,7 @@
 #[test]
 fn back_soon() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
-    let fastest = (0..ATTEMPTS).map(|_| connect_time(&runtime)).min().unwrap();
+    let fastest = (0..MEASUREMENTS).map(|_| connect_time(&runtime)).min().unwrap();
     assert!(fastest < MAX_DELAY, "{fastest:?}");
 }
 
@@ -42,13 +42,13 @@
 fn connect_time(runtime: &tokio::runtime::Runtime) -> time::Duration {
     let (here, there) = (Name::new("west-1"), Name::new("west-2"));
     // The address is free at this moment.
-    let free = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let outbox = peer::Outbox::new().with_peer(runtime, &here, &there, free);
+    let address = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let outbox = peer::Outbox::new().with_peer(runtime, &here, &there, address);
     std::thread::sleep(DOWNTIME);
     let (sender, receiver) = crossbeam_channel::unbounded();
     let start = time::Instant::now();
     let inbox = sync::Arc::new(Inbox(sender));
-    let _server = peer::Server::open(runtime, free, &there, inbox).unwrap();
+    let _server = peer::Server::open(runtime, address, &there, inbox).unwrap();
     while start.elapsed() < time::Duration::from_secs(2) {
         // Messages that are sent before the stream is open are lost.
         outbox.send(&there, vec![Bytes::from_static(b"x")]);
--- a/crates/state/tests/boot.rs
+++ b/crates/state/tests/boot.rs
@@ -38,10 +38,10 @@
   "drain_ms": -1,
   "traces": []
 }"#;
-    let faults: Vec<_> = Boot::parse(text).unwrap_err().iter().map(ToString::to_string).collect();
+    let errors: Vec<_> = Boot::parse(text).unwrap_err().iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(
         "all_faults",
-        faults.join(
+        errors.join(
             "
 "
         )
@@ -50,8 +50,8 @@
 
 #[test]
 fn not_json() {
-    let faults = Boot::parse("{\n  \"instance\": west\n}").unwrap_err();
-    assert_eq!((faults.len(), faults[0].line), (1, 2));
+    let errors = Boot::parse("{\n  \"instance\": west\n}").unwrap_err();
+    assert_eq!((errors.len(), errors[0].line), (1, 2));
 }
 
 proptest! {
@@ -67,10 +67,10 @@
     fn any_edit(at in 0..VALID.len(), cut in 0..30_usize, text in "[ -~]{0,12}") {
         let end = (at + cut).min(VALID.len());
         let edited = format!("{}{text}{}", &VALID[..at], &VALID[end..]);
-        if let Err(faults) = Boot::parse(&edited) {
-            prop_assert!(!faults.is_empty());
+        if let Err(errors) = Boot::parse(&edited) {
+            prop_assert!(!errors.is_empty());
             let lines = edited.split('\n').count();
-            prop_assert!(faults.iter().all(|fault| (1..=lines).contains(&fault.line)));
+            prop_assert!(errors.iter().all(|error| (1..=lines).contains(&error.line)));
         }
     }
 }
--- a/crates/state/tests/journal.rs
+++ b/crates/state/tests/journal.rs
@@ -9,22 +9,16 @@
     JobId::new(&Name::new("west"), uuid::Uuid::from_u128(number << 80 | 7 << 76))
 }
 
-fn member(name: &str, life: u64) -> Member {
-    Member::new(&Name::new(name), life)
+fn member(name: &str, incarnation: u64) -> Member {
+    Member::new(&Name::new(name), incarnation)
 }
 
 fn admit(job: JobId, owner: &Member, claim: Option<Claim>) -> Command {
     Command::Admit { job, digest: 1, owner: owner.clone(), claim }
 }
 
-fn claim(tasks: u32, flight: u32, rate: u32, at: u64) -> Claim {
-    Claim {
-        account: Name::new("quotes north"),
-        tasks,
-        max_in_flight: flight,
-        max_rate: rate,
-        time_ms: at,
-    }
+fn claim(tasks: u32, max_in_flight: u32, max_rate: u32, time_ms: u64) -> Claim {
+    Claim { account: Name::new("quotes north"), tasks, max_in_flight, max_rate, time_ms }
 }
 
 #[test]
--- a/crates/state/tests/policy.rs
+++ b/crates/state/tests/policy.rs
@@ -8,7 +8,7 @@
             "client_address": "127.0.0.1:1", "ready_address": "127.0.0.1:2",
             "peer_address": "127.0.0.1:3", "decisions": {decisions}}}"#
     );
-    Node::parse(&text).map_err(|faults| faults.into_iter().map(|fault| fault.path).collect())
+    Node::parse(&text).map_err(|errors| errors.into_iter().map(|error| error.path).collect())
 }
 
 #[test]
