--- a/crates/coord/src/core.rs
+++ b/crates/coord/src/core.rs
@@ -96,7 +96,7 @@
     pub(crate) membership_at: u64,
     pub(crate) fetch_at: u64,
     pub(crate) return_at: u64,
-    pub(crate) remote_ping_at: u64,
+    pub(crate) ping_at: u64,
     /// Whether this instance has requested the upstreams from its zone peers.
     pub(crate) upstreams_requested: bool,
     /// Instances that announced their shutdown.
@@ -148,7 +148,7 @@
             prune_at: 0,
             membership_at: 0,
             return_at: 0,
-            remote_ping_at: 0,
+            ping_at: 0,
             fetch_at: now.mono + SETTINGS_WAIT,
             upstreams_requested: false,
             leaving: collections::BTreeSet::new(),
--- a/crates/coord/src/forward.rs
+++ b/crates/coord/src/forward.rs
@@ -110,10 +110,10 @@
     /// zones, because zones exchange no regular traffic that would show which instances respond.
     fn ping_remote_zones(&mut self, now: Now) {
         const INTERVAL: u64 = 500 * time::MS;
-        if now.mono < self.remote_ping_at {
+        if now.mono < self.ping_at {
             return;
         }
-        self.remote_ping_at = now.mono + INTERVAL;
+        self.ping_at = now.mono + INTERVAL;
         if !self.tree().allows_cross_zone() {
             return;
         }
--- a/crates/coord/src/jobs.rs
+++ b/crates/coord/src/jobs.rs
@@ -65,7 +65,7 @@
             return Ok(());
         };
         let count = self.table().live().count().max(1) as u32;
-        claim.max_in_flight = claim.max_in_flight.div_ceil(count);
+        claim.flight_limit = claim.flight_limit.div_ceil(count);
         claim.max_rate = claim.max_rate.div_ceil(count);
         self.usage.entry(claim.account.clone()).or_default().charge(&claim)?;
         if let Some(job) = self.jobs.get_mut(id) {
--- a/crates/coord/src/limit.rs
+++ b/crates/coord/src/limit.rs
@@ -74,10 +74,10 @@
             return Err(Verdict::refuse(Refusal::TooLarge, why, 0));
         }
         if let Some(claim) = quota_claim(spec, &policy, now)
-            && claim.max_in_flight > 0
-            && claim.tasks > claim.max_in_flight
+            && claim.flight_limit > 0
+            && claim.tasks > claim.flight_limit
         {
-            let why = format!("the team may have {} tasks in flight", claim.max_in_flight);
+            let why = format!("the team may have {} tasks in flight", claim.flight_limit);
             return Err(Verdict::refuse(Refusal::Quota, why, 0));
         }
         self.check_availability(spec, &policy, now)?;
@@ -179,7 +179,7 @@
     Some(table::Claim {
         account: name::Name::new(&format!("{} {team}", spec.service)),
         tasks: spec.tasks.len() as u32,
-        max_in_flight: policy.team_in_flight as u32,
+        flight_limit: policy.team_in_flight as u32,
         max_rate: policy.team_rate as u32,
         time_ms: now.wall,
     })
--- a/crates/dispatch/src/active.rs
+++ b/crates/dispatch/src/active.rs
@@ -102,7 +102,7 @@
         self.number = handover.number;
         self.share = handover.share.clone();
         self.offer = handover.offer;
-        self.started |= handover.may_have_started || self.job.resumed;
+        self.started |= handover.maybe_started || self.job.resumed;
         for tasks in &mut self.tasks {
             for (task, index) in tasks.iter_mut().zip(0..) {
                 if task.phase == Phase::Away && self.share.has(index) {
--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -104,7 +104,7 @@
         now: u64,
     ) -> Option<Refusal> {
         // Offered tasks without room go back to the entry, since another zone may have room.
-        if job.resumed || handover.may_have_started || handover.offer {
+        if job.resumed || handover.maybe_started || handover.offer {
             return None;
         }
         let serves =
--- a/crates/dispatch/src/handback.rs
+++ b/crates/dispatch/src/handback.rs
@@ -65,7 +65,7 @@
         let load = self.load(now);
         let Some(active) = self.jobs.get(id) else { return };
         let (entry, number) = (active.entry.clone(), active.number);
-        let may_have_started = active.has_run(&tasks);
+        let maybe_started = active.has_run(&tasks);
         let cause = if self.evacuated { ", the zone is evacuated" } else { "" };
         let detail = format!(
             "{} tasks to {entry}, {}m of {}m cores free{cause}",
@@ -74,7 +74,7 @@
             load.total
         );
         self.note("job: Gave tasks back.", id, &detail);
-        let returned = message::ReturnedTasks { number, tasks, load, may_have_started };
+        let returned = message::ReturnedTasks { number, tasks, load, maybe_started };
         self.out.returned.push((entry, id.clone(), returned));
     }
 }
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -173,7 +173,7 @@
     /// Whether the receiver is to return the tasks that cannot start at once.
     pub offer: bool,
     /// Whether other tasks of the job may have begun elsewhere.
-    pub may_have_started: bool,
+    pub maybe_started: bool,
     /// Digest of its zone's upstreams that the receiver last reported.
     pub upstreams: u64,
     /// Last reported digests of the schedulers that had these tasks before: the tasks run only at
@@ -205,7 +205,7 @@
     /// Free capacity of the scheduler's upstreams.
     pub load: Load,
     /// Whether the scheduler may have started one of them, which no longer runs.
-    pub may_have_started: bool,
+    pub maybe_started: bool,
 }
 
 /// Free and total capacity of the upstreams of a zone.
--- a/crates/dispatch/src/submissions.rs
+++ b/crates/dispatch/src/submissions.rs
@@ -71,7 +71,7 @@
     /// Its tasks that are not known to be done, grouped by the scheduler that holds them.
     parts: smallvec::SmallVec<[assignment::Assignment; 1]>,
     /// Whether a scheduler kept some of the tasks when it returned others, or has completed them.
-    may_have_started: bool,
+    maybe_started: bool,
     /// Whether a completed part had been assigned to another scheduler before.
     resumed: bool,
     /// Zones in which parts of it were completed.
@@ -148,15 +148,8 @@
         let part = assignment::Assignment::new(number, share::Share::ALL, view.now);
         let (tickets, parts) = (smallvec::smallvec![ticket], smallvec::smallvec![part]);
         let (arrived, zones) = (view.now, smallvec::SmallVec::new());
-        let open = OpenJob {
-            job,
-            tickets,
-            arrived,
-            parts,
-            may_have_started: false,
-            resumed: false,
-            zones,
-        };
+        let open =
+            OpenJob { job, tickets, arrived, parts, maybe_started: false, resumed: false, zones };
         self.open.insert(id.clone(), open);
         self.assign(&id, number, view);
     }
@@ -191,7 +184,7 @@
                 let (done, rest): (Vec<_>, Vec<_>) =
                     open.parts.drain(..).partition(|part| decision.share.covers(&part.share));
                 open.parts = rest.into();
-                open.may_have_started = true;
+                open.maybe_started = true;
                 open.resumed |= done.iter().any(|part| part.resumed);
                 open.zones.extend(done.iter().filter_map(|part| part.pinned_zone.clone()));
                 let others = done.into_iter().filter_map(|part| part.claim);
@@ -210,7 +203,7 @@
                     part.number == decision.number && part.is_with(from)
                 };
                 let Some(part) = open.parts.iter().find(is_meant) else { return };
-                let sole = open.parts.len() == 1 && !open.may_have_started && !part.resumed;
+                let sole = open.parts.len() == 1 && !open.maybe_started && !part.resumed;
                 let verdict = if sole { &decision.verdict } else { &Verdict::GaveUp };
                 self.close(id, verdict, now);
             }
@@ -253,7 +246,7 @@
         if tasks.is_empty() {
             return;
         }
-        open.may_have_started |= returned.may_have_started;
+        open.maybe_started |= returned.maybe_started;
         if kept.is_empty() {
             part.mark_returned();
             return self.assign(id, returned.number, view);
@@ -261,7 +254,7 @@
         part.share = kept;
         let rest = part.split(number, tasks, view.now);
         open.parts.push(rest);
-        open.may_have_started = true;
+        open.maybe_started = true;
         self.assign(id, number, view);
     }
 
@@ -349,14 +342,14 @@
         let next = self.next_number(view.now);
         let Some(open) = self.open.get_mut(id) else { return };
         let at = open.join(at, &choice.claim);
-        let may_have_started = open.may_have_started || open.parts.len() > 1;
+        let maybe_started = open.maybe_started || open.parts.len() > 1;
         let part = &mut open.parts[at];
         let digest = view.reported_digest(&choice.claim).unwrap_or(0);
         let handover = Handover {
             number: next,
             share: part.share.clone(),
             offer: choice.offer,
-            may_have_started,
+            maybe_started,
             upstreams: digest,
             former: part.former_digests.clone(),
             release_age: part.since_asked(view.now),
@@ -469,7 +462,7 @@
             (!late(claim), free.min(need), claim.zone == *home, free)
         };
         let claim = (*able.iter().max_by_key(queue)?).clone();
-        let fresh = !open.may_have_started && !part.resumed && view.now < open.arrived + HOME_WAIT;
+        let fresh = !open.maybe_started && !part.resumed && view.now < open.arrived + HOME_WAIT;
         if homeless && fresh && self.free(&claim.zone) < need {
             return None;
         }
@@ -499,7 +492,7 @@
 impl OpenJob {
     /// Whether a scheduler may have started any of its tasks.
     fn is_handed_over(&self) -> bool {
-        self.may_have_started || self.parts.iter().any(|part| part.handed_over)
+        self.maybe_started || self.parts.iter().any(|part| part.handed_over)
     }
 
     /// The verdict for a job that cannot continue for the reason `refusal`.
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -27,7 +27,7 @@
     /// Number of tasks of the job.
     pub tasks: u32,
     /// Maximum number of tasks in flight; 0 means no limit.
-    pub max_in_flight: u32,
+    pub flight_limit: u32,
     /// Maximum number of tasks admitted per second; 0 means no limit.
     pub max_rate: u32,
     /// Wall clock time of the owner, in milliseconds since the Unix epoch.
@@ -133,14 +133,14 @@
     /// ```
     /// let mut usage = state::table::Usage::default();
     /// let account = "quotes north".into();
-    /// let (tasks, max_in_flight, max_rate, time_ms) = (3, 4, 0, 0);
-    /// let claim = state::table::Claim { account, tasks, max_in_flight, max_rate, time_ms };
+    /// let (tasks, flight_limit, max_rate, time_ms) = (3, 4, 0, 0);
+    /// let claim = state::table::Claim { account, tasks, flight_limit, max_rate, time_ms };
     /// assert!(usage.charge(&claim).is_ok());
     /// assert!(usage.charge(&claim).is_err());
     /// ```
     pub fn charge(&mut self, claim: &Claim) -> Result<(), u64> {
         const RETRY_MS: u64 = 250;
-        if claim.max_in_flight > 0 && self.in_flight + claim.tasks > claim.max_in_flight {
+        if claim.flight_limit > 0 && self.in_flight + claim.tasks > claim.flight_limit {
             return Err(RETRY_MS);
         }
         if claim.max_rate > 0 {
--- a/crates/state/tests/journal.rs
+++ b/crates/state/tests/journal.rs
@@ -17,8 +17,8 @@
     Command::Admit { job, digest: 1, owner: owner.clone(), claim }
 }
 
-fn claim(tasks: u32, max_in_flight: u32, max_rate: u32, time_ms: u64) -> Claim {
-    Claim { account: Name::new("quotes north"), tasks, max_in_flight, max_rate, time_ms }
+fn claim(tasks: u32, flight_limit: u32, max_rate: u32, time_ms: u64) -> Claim {
+    Claim { account: Name::new("quotes north"), tasks, flight_limit, max_rate, time_ms }
 }
 
 #[test]
